--- a/policy/api.go
+++ b/policy/api.go
@@ -32,9 +32,9 @@
 
 // The scopes of idempotency keys.
 const (
-	ScopeAll Scope = iota
-	ScopeZone
-	ScopeCell
+	ScopeAll  Scope = iota // all members
+	ScopeZone              // the members of the same zone
+	ScopeCell              // the members of the same cell
 )
 
 // Class describes one class of requests.
@@ -108,8 +108,8 @@
 type Endpoint struct {
 	ID      MemberID
 	Zone    int
-	Kind    int
-	Cell    int
+	Kind    int // members of one kind have a similar capacity per unit of Weight
+	Cell    int // see ScopeCell
 	State   MemberState
 	Weight  float64       // relative size; a rough guide
 	Started time.Duration // time of the latest start; 0 if unknown or long ago
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -63,9 +63,9 @@
 func (b *Balancer) finish(r *request) {
 	r.answered = true
 	if r.mayReject(b) {
-		// The delay covers the arrival of new reports and the number of attempts that admission
-		// takes at the current rejection rate. It is randomized so that clients rejected together
-		// do not return together. See docs/design.md, "Coming again".
+		// The delay leaves time for new reports. It grows with the number of attempts that a client
+		// needs on average until it is admitted, at the current rejection rate, and is randomized so
+		// that clients rejected together do not return together. See docs/design.md, "Coming again".
 		b.rejectionRate += learningRate * (1 - b.rejectionRate)
 		retryAfter := float64(b.minObjective) / max(1-b.rejectionRate, learningRate)
 		retryAfter = min(retryAfter, float64(b.cfg.MaxRetryAfter)/1.5)
--- a/policy/capacity.go
+++ b/policy/capacity.go
@@ -51,7 +51,7 @@
 
 // adaptLending changes the lending threshold of a tenant's members. Its callers move the threshold
 // towards the highest one at which the owner still finds its home slice full no more often than
-// lendTolerance (paper 5.4).
+// lendTolerance (SERES paper, 5.4).
 func (b *Balancer) adaptLending(r *request, by float64) {
 	b.lendingThresholds[r.Tenant] = min(max(b.lendingThresholds[r.Tenant]+by, lendMin), 1)
 }
--- a/policy/migration.go
+++ b/policy/migration.go
@@ -10,7 +10,8 @@
 
 // migrateExcess migrates this relay's connections from a member that is over its capacity, where no
 // connection is served well. Each relay moves the same fraction of its own load, so that all relays
-// together move the excess and no more. Connections of the least value per load go first.
+// together move the excess and no more. Connections of the least value per load go first, so that
+// few clients and little value are affected.
 func (b *Balancer) migrateExcess(now time.Duration, m *member) {
 	fill := b.usedOf(now, m) / b.capacityOf(now, m)
 	if m.rawReport.Load > stallLoad {
--- a/policy/placement.go
+++ b/policy/placement.go
@@ -20,8 +20,9 @@
 	if r.answered || r.inFlight || r.pendingProbes > 0 {
 		return
 	}
-	// While establishing fails, only a part of the attempts is sent, as in TCP congestion control:
-	// otherwise retries could keep a shared session store down.
+	// While attempts to establish connections fail, only a part of the requests is sent, as in TCP
+	// congestion control: otherwise retries could prevent the recovery of a session store that the
+	// members share.
 	if r.probedStage == 0 && !r.MidFlow && b.rng.Float64() > b.admissionRate {
 		b.finish(r)
 		return
@@ -44,7 +45,8 @@
 		for i := range (lastTier + 1) * len(levels) {
 			tier, level := i%(lastTier+1), levels[i/(lastTier+1)]
 			if b.cfg.Groups && ordered && tier != homeLocal {
-				level = min(level, groupSpillFill) // members outside the slice also have to carry the group's shared work
+				// Members outside the slice have to repeat the group's shared work.
+				level = min(level, groupSpillFill)
 			}
 			if m := b.pick(now, r, tier, tiered[tier], level); m != nil {
 				b.send(now, r, m, tier == foreignLocal || tier == foreignRemote)
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -7,14 +7,19 @@
 
 // Events and actions are declared in api.go, the state of a Balancer in state.go, and each kind of
 // decision has a file of its own; the deploy file lists them. docs/design.md says which rules
-// follow the SERES thresholds, and which depart from them and when.
+// follow the thresholds of the SERES paper, and which depart from them and when.
+//
+// The fill of a member is its load divided by its capacity. Each member is owned by one tenant, and
+// the members that a tenant owns are its home slice. Connections with an affinity key have a home
+// slice of their own: the members that rank highest for the key. A connection outside its home slice
+// is foreign: the owner of the member lends it capacity, up to the owner's lending threshold.
 
 // These constants have no unit; durations are derived from the settings.
 const (
 	// The fill levels that placement tries in turn: the fractions of a member's capacity up to
 	// which the member counts as having spare capacity. The load of a connection varies while it is
 	// open, so the first level leaves a third of a member for variation. The last is the k of the
-	// paper, just below the fill at which messages begin to wait.
+	// SERES paper, just below the fill at which messages begin to wait.
 	fillLow, fillMedium, fillHigh = 0.65, 0.75, 0.85
 	// overloadFill is the fill above which a single report causes migrations; a load above
 	// stallLoad may come from a member that stalled for a moment. lowValueFill is the fill level
@@ -22,11 +27,11 @@
 	// docs/design.md, "Shortage", for the measurements.
 	overloadFill, stallLoad, lowValueFill, lowValueRatio = 0.95, 2.0, 0.8, 0.5
 	// lendTolerance is the fraction of the owners' connections that may find their home slice full
-	// (paper 5.4). lendStep scales how far one connection moves the lending threshold, as a
+	// (SERES paper, 5.4). lendStep scales how far one connection moves the lending threshold, as a
 	// fraction of the capacity: small enough to average some tens of connections.
 	lendTolerance, lendStep = 0.1, 0.1
-	// lendMin is the fraction of the capacity that is always lent: the slice of a busy owner still
-	// takes foreign connections while it has spare capacity.
+	// lendMin is the lowest lending threshold: even the members of a busy owner accept foreign
+	// connections up to it while they have spare capacity.
 	lendMin = 0.2
 	// shrinkage is the number of connections on one member at which a relay weights its foreign
 	// share there as much as its foreign share over all members.
@@ -44,9 +49,9 @@
 	// maxBackoffDoublings limits the exponential backoff before an ejected member is tried again.
 	maxBackoffDoublings = 5
 	// groupSlice is the number of members in the home slice of a group. The members that rank next
-	// for the group, up to groupReach, have to carry its shared work again. They are used only up
-	// to groupSpillFill, so that each has capacity for many connections of the group. Members
-	// beyond groupReach are not used: each relay knows different ones and would scatter the group.
+	// for the group, up to groupReach, each have to repeat its shared work. They are used only up to
+	// groupSpillFill, so that each has capacity for many connections of the group. Members beyond
+	// groupReach are not used: each relay has reports of different ones and would scatter the group.
 	// groupTaper is the spare fraction of a member below which fewer of a group's connections go
 	// there. docs/design/fleet.md has the measurements.
 	groupSlice, groupReach, groupSpillFill, groupTaper = 1, 1 + 2*probesPerTier, 0.5, 0.35
@@ -55,9 +60,9 @@
 	// with a connection have one of a large group, and all those want the same member. See
 	// docs/design/fleet.md.
 	groupDemand = 4.0
-	// admissionBackoff is the factor by which a failure to establish reduces the fraction of its
-	// requests that a relay sends. minAdmissionRate is the fraction that it always sends, to detect
-	// recovery.
+	// admissionBackoff is the factor by which a failure to establish a connection reduces the
+	// fraction of its requests that a relay sends. minAdmissionRate is the fraction that it always
+	// sends, to detect recovery.
 	admissionBackoff, minAdmissionRate = 0.8, 0.03
 	// concurrentPolls is how many relays may poll the endpoint list within a twentieth of
 	// MaxPollInterval.
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -7,9 +7,9 @@
 
 // This file picks one member among the candidates of a tier.
 
-// pick chooses among the candidates of one tier that have spare capacity at the fill level, at
-// random with a preference for more spare capacity; with an affinity key it chooses by rank. It
-// returns nil if none has any.
+// pick chooses among the candidates of one tier that have spare capacity at the fill level: at
+// random with a preference for more spare capacity, or, with an affinity key, by rank. It returns
+// nil if no candidate has spare capacity.
 func (b *Balancer) pick(now time.Duration, r *request, tier int, list []*member, level float64) *member {
 	foreign := tier == foreignLocal || tier == foreignRemote
 	if tier >= homeRemote {
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -31,8 +31,8 @@
 		return true
 	}
 	capacity, sharers := b.capacityOf(now, m)/b.unitLoad(), b.activeRelays
-	// Only few other relays have connections of a group for it; the rest need no share of the
-	// budget.
+	// Of the other relays, only a few have connections of a group for this member; the rest need no
+	// share of the budget.
 	if b.cfg.Groups && r.Group != 0 {
 		sharers = min(sharers, max(groupDemand*max(b.meanFill(), fillLow)*capacity/b.warmupFraction(now, m), 1))
 	}
--- a/policy/state.go
+++ b/policy/state.go
@@ -119,7 +119,7 @@
 	foreignFlows      float64
 	meanLoad          float64
 	classLoad         []float64
-	admissionRate     float64 // fraction of its requests that the relay sends; lower while establishing fails
+	admissionRate     float64 // fraction of its requests that the relay sends; lower while attempts fail
 	rejectionRate     float64 // fraction of the recent requests that were rejected
 	probeTokens       float64 // number of probes that may be sent
 	// Number of relays that share budgets: Settings.Balancers until ActiveRelays changes it.
