--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -32,7 +32,8 @@
 	}
 	if c.Name != "n3" || c.Listen != "127.0.0.1:3" || c.Discovery != "127.0.0.1:2" || c.SeedNumber() != 0x8c1f30d27a5be964 ||
 		c.KnownList().Generation != 7 || len(c.Decoded().Classes) != 1 || c.Fronts.Line == nil || c.Fronts.NATS != nil || c.Store != nil {
-		t.Errorf("Load returned an unexpected configuration: %+v", c)
+		t.Errorf("Load = %+v, want name and listen address of the environment, the other values of the file, "+
+			"and only the line front", c)
 	}
 	if _, err := Load("", func(string) string { return "" }); !errors.Is(err, ErrInvalid) {
 		t.Errorf("Load without a file and variables: error %v, want %v", err, ErrInvalid)
@@ -164,7 +165,8 @@
 			t.Fatal(err)
 		}
 		if same := cfg.AdoptDiscovery(c.predecessor); same != c.same || cfg.Discovery != c.want || cfg.Operator != "127.0.0.1:5" {
-			t.Errorf("%+v: AdoptDiscovery = %v, discovery %s, operator %s", c, same, cfg.Discovery, cfg.Operator)
+			t.Errorf("discovery %q in the file, predecessor at %s: AdoptDiscovery = %v, discovery %s, operator %s; "+
+				"want %v, %s, 127.0.0.1:5", c.file, c.predecessor, same, cfg.Discovery, cfg.Operator, c.same, c.want)
 		}
 	}
 	if _, err := loadText(t, `{`+settingsText+`}`, map[string]string{"EDGE_LISTEN": "127.0.0.1:1",
--- a/internal/core/feed_test.go
+++ b/internal/core/feed_test.go
@@ -52,7 +52,7 @@
 	member := tr.harness.members[tr.member.ID]
 	switch {
 	case tr.attempts[m.Sequence] > 3, m.Attempts != tr.attempts[m.Sequence]:
-		tr.harness.t.Errorf("message %d is written for the %d. time as attempt %d; want equal numbers, at most 3",
+		tr.harness.t.Errorf("message %d was written %d times, the last time as attempt %d; want equal numbers, at most 3",
 			m.Sequence, tr.attempts[m.Sequence], m.Attempts)
 	case tr.answers[m.Sequence] != "":
 		tr.harness.t.Errorf("message %d is sent after it was answered %s", m.Sequence, tr.answers[m.Sequence])
@@ -62,7 +62,7 @@
 	case tr.harness.dispatchPaused:
 		tr.harness.t.Errorf("message %d is sent while dispatch is paused", m.Sequence)
 	case string(text) != fmt.Sprint("message ", m.Sequence):
-		tr.harness.t.Errorf("message %d is sent with text %q", m.Sequence, text)
+		tr.harness.t.Errorf("message %d is sent with text %q, want \"message %d\"", m.Sequence, text, m.Sequence)
 	}
 }
 func (tr *feedTransport) Disconnect() uint64 {
@@ -331,7 +331,7 @@
 	}
 }
 
-// TestFeedRandomEvents plays random publications, acknowledgements, rejections, lost links,
+// TestFeedRandomEvents applies random publications, acknowledgements, rejections, lost links,
 // draining members and blocked links. The transport checks each step, and in the end every message
 // must have one answer. Half of the runs add relay events: pauses of dispatch, ejections, removals
 // by the fleet, drains and the stop of the relay.
@@ -393,13 +393,15 @@
 		sent := 0
 		for i, tr := range transports {
 			if len(tr.answers) != len(tr.deadlines) {
-				t.Errorf("seed %d, feed %d: %d answers to %d messages", seed, i, len(tr.answers), len(tr.deadlines))
+				t.Errorf("seed %d, feed %d: %d answers to %d messages, want one for each",
+					seed, i, len(tr.answers), len(tr.deadlines))
 			}
 			sent += len(tr.attempts)
 			tr.feed.Close()
 		}
 		if c := h.Counts.Messages; c.Accepted != c.Served+c.Rejected+c.Failed || sent == 0 && !relayEvents || h.ActiveRequests() != 0 || h.feedBytes != 0 {
-			t.Errorf("seed %d: counts %+v, %d messages sent, %d active requests, %d bytes at the end",
+			t.Errorf("seed %d: counts %+v, %d messages sent, %d active requests, %d bytes at the end; want an "+
+				"answer counted for each accepted message, some sent unless there are relay events, and 0, 0",
 				seed, h.Counts, sent, h.ActiveRequests(), h.feedBytes)
 		}
 		if relayEvents {
--- a/internal/core/fuzz_test.go
+++ b/internal/core/fuzz_test.go
@@ -9,8 +9,8 @@
 	"dahliarudder/policy"
 )
 
-// FuzzCore plays random events. The downstream checks that each request has one final answer and at
-// most three attempts, never two of them in flight. The records must hold one answer for each
+// FuzzCore applies random events. The downstream checks that each request has one final answer and at
+// most three attempts, never two of them in flight. The recorder must receive one answer for each
 // request and one end for each attempt.
 func FuzzCore(f *testing.F) {
 	for seed := range uint64(8) {
--- a/internal/core/lifecycle_test.go
+++ b/internal/core/lifecycle_test.go
@@ -31,11 +31,11 @@
 					from, e, got, q.state, ok, to)
 			}
 			if counted := h.Counts.IgnoredEvents == 1; counted == ok {
-				t.Errorf("state %d, event %d, allowed %v: %d events counted as ignored",
+				t.Errorf("state %d, event %d, allowed %v: %d events counted as ignored, want 0 if it is allowed and 1 if not",
 					from, e, ok, h.Counts.IgnoredEvents)
 			}
 			if gone := h.requests[1] == nil; gone != (ok && to == finished) {
-				t.Errorf("state %d, event %d to state %d: request still active: %v", from, e, to, !gone)
+				t.Errorf("state %d, event %d to state %d: request active %v, want %v", from, e, to, !gone, gone)
 			}
 		}
 	}
--- a/internal/core/model_test.go
+++ b/internal/core/model_test.go
@@ -235,7 +235,8 @@
 	}
 	var listed []Member
 	for _, member := range m.members {
-		if m.draw(3, "listed") == 0 == (kind == policy.ListDelta) { // one third of the members in a delta, two thirds in a full list
+		// One third of the members in a delta, two thirds in a full list.
+		if m.draw(3, "listed") == 0 == (kind == policy.ListDelta) {
 			member.State = []policy.MemberState{policy.Ready, policy.Ready, policy.Ready, policy.Draining, policy.Gone}[m.draw(5, "state")]
 			if m.draw(6, "restart") == 0 {
 				member.Started, member.State = m.now, policy.Ready
@@ -460,7 +461,7 @@
 	{"stall", 1, func(m *model) { m.now += time.Duration(1+m.draw(900, "stall")) * time.Millisecond }},
 }
 
-// TestModel plays random sequences of events against a core, and checks everything that clients,
+// TestModel applies random sequences of events to a core, and checks everything that clients,
 // members and the recorder see of it.
 func TestModel(t *testing.T) {
 	var steps []int
@@ -483,7 +484,8 @@
 			}
 			s := modelSteps[steps[m.draw(len(steps), "step")]]
 			s.do(m)
-			if s.name != "stall" { // after a stall the loop handles the next event before the timers that are due
+			// After a stall the event loop handles the next event before the timers that are due.
+			if s.name != "stall" {
 				m.advance(0)
 				m.check()
 			}
--- a/internal/window/window_test.go
+++ b/internal/window/window_test.go
@@ -185,7 +185,7 @@
 	}
 }
 
-// TestRandomEvents plays random events against a separate account of each message, and checks that
+// TestRandomEvents applies random events, tracks the state of each message on its own, and checks that
 // each message has one final outcome, a limited number of attempts, one at a time and in order, and
 // the text that was put.
 func TestRandomEvents(t *testing.T) {
@@ -274,7 +274,7 @@
 			}
 		}
 		if !w.Idle() || w.Bytes() != 0 {
-			t.Errorf("seed %d: the window still holds %d messages, %d bytes at the end", seed, w.Len(), w.Bytes())
+			t.Errorf("seed %d: the window holds %d messages, %d bytes at the end, want none", seed, w.Len(), w.Bytes())
 		}
 	}
 }
--- a/policy/capacity_test.go
+++ b/policy/capacity_test.go
@@ -58,6 +58,6 @@
 	before := h.usedOf(h.now, m)
 	h.AttemptEnded(h.now, Outcome{ID: 900, Member: id, Result: OK, Final: true, Report: NoReport})
 	if freed := before - h.usedOf(h.now, m); freed < 0.039 || freed > 0.041 {
-		t.Errorf("the end of a connection of load 0.04 released %.3f", freed)
+		t.Errorf("the end of a connection of load 0.04 released a load of %.3f, want 0.039 to 0.041", freed)
 	}
 }
--- a/policy/facade_test.go
+++ b/policy/facade_test.go
@@ -140,7 +140,8 @@
 	next.Restore(now, old.LearnedState(t0+time.Second))
 	restored, failed := next.balancer.byID[members[0].ID], next.balancer.byID[members[1].ID]
 	if restored.capacity != m.capacity || restored.capacity == 0 || !restored.hasReport || restored.report.Load != 0.5 || restored.reportChangedAt != now-time.Second {
-		t.Errorf("restored member %+v, learned %+v", restored, m)
+		t.Errorf("restored member %+v, want capacity %v and a report of load 0.5 from %v",
+			restored, m.capacity, now-time.Second)
 	}
 	if !failed.ejected || failed.failures != memberFailureThreshold {
 		t.Errorf("ejected member restored with health %+v, want ejected with %d failures",
@@ -203,8 +204,8 @@
 	}
 	for group := uint64(1); group <= 20; group++ {
 		if member := sentTo(group); member == 0 || (member == canary) != (group <= assigned) {
-			t.Errorf("group %d was sent to member %d; the canary is %d, and groups up to %d are "+
-				"assigned to it", group, member, canary, assigned)
+			t.Errorf("group %d was sent to member %d; want member %d, the canary, for groups up to %d "+
+				"and another one for the others", group, member, canary, assigned)
 		}
 	}
 	draining := all[0]
--- a/policy/fuzz_test.go
+++ b/policy/fuzz_test.go
@@ -18,7 +18,7 @@
 	requests      map[RequestID]*requestState
 	states        map[MemberID]MemberState
 	members       map[MemberID]Endpoint
-	timerQueue    []requestedTimer
+	timerQueue    []requestedTimer // delay is the time at which the timer is due
 	openAttempts  []openAttempt
 	pendingProbes []MemberID
 	recorder
@@ -77,7 +77,7 @@
 func (w *invariantChecker) recordAnswer(id RequestID, rejected bool) {
 	r := w.requests[id]
 	if r == nil || r.ended {
-		w.t.Fatalf("second answer for request %d", id)
+		w.t.Fatalf("answer for request %d, which has ended or is unknown", id)
 	}
 	if w.now > r.deadline+w.set.AnswerSlack && r.deadline > 0 && !r.established {
 		w.t.Fatalf("request %d answered %v after its deadline, want at most %v",
--- a/policy/groups_test.go
+++ b/policy/groups_test.go
@@ -42,8 +42,8 @@
 		h.load[current] = load
 		h.now += time.Second
 		if to := h.memberOf(h.submit(Request{Group: 77, Load: 0.1})); (to == current) != (load < fillHigh) {
-			t.Errorf("at load %v of the current member: sent to member %d, current is %d, first in "+
-				"rank is %d", load, to, current, first)
+			t.Errorf("at load %v of the current member %d: sent to member %d, want the current one below "+
+				"load %v and another one above (first in rank: %d)", load, current, to, fillHigh, first)
 		}
 	}
 }
