--- a/cmd/dahliarudder/canary.go
+++ b/cmd/dahliarudder/canary.go
@@ -85,7 +85,8 @@
 	if _, known := r.canary.weights.Pause(release); known {
 		r.canary.applyWeights()
 	} else {
-		r.log.WithField("release", release).Warn("fleet: pause of a canary that is unknown at this relay; no notice is gossiped, only the record replicates the pause")
+		r.log.WithField("release", release).Warn("fleet: pause of a canary that is unknown at this relay; " +
+			"no notice is gossiped, only the record replicates the pause")
 	}
 }
 
--- a/cmd/dahliarudder/fleet.go
+++ b/cmd/dahliarudder/fleet.go
@@ -177,7 +177,8 @@
 		case err == nil:
 			r.applyEjections(member, false, done)
 		case errors.Is(err, consensus.ErrNoQuorum), errors.Is(err, consensus.ErrQueueFull):
-			r.log.WithError(err).WithField("member", member).Warn("fleet: the record did not accept the change; it applies to this relay only")
+			r.log.WithError(err).WithField("member", member).
+				Warn("fleet: the record did not accept the change; it applies to this relay only")
 			r.applyEjections(member, ejected, done)
 		default:
 			done(err)
--- a/cmd/dahliarudder/keys.go
+++ b/cmd/dahliarudder/keys.go
@@ -38,8 +38,10 @@
 			return nil
 		},
 	}
-	certificate.Flags().StringVar(&dir, "dir", "tls", "output directory; existing files are not overwritten but reported as an error")
-	certificate.Flags().StringSliceVar(&hosts, "host", []string{"127.0.0.1", "localhost"}, "host names and IP addresses that clients connect to")
+	certificate.Flags().StringVar(&dir, "dir", "tls",
+		"output directory; existing files are not overwritten but reported as an error")
+	certificate.Flags().StringSliceVar(&hosts, "host", []string{"127.0.0.1", "localhost"},
+		"host names and IP addresses that clients connect to")
 	keys.AddCommand(certificate, &cobra.Command{
 		Use:   "password",
 		Short: "Read a password or token from standard input and print its bcrypt hash",
--- a/cmd/dahliarudder/scenario_test.go
+++ b/cmd/dahliarudder/scenario_test.go
@@ -15,7 +15,8 @@
 			t.Fatalf("%s: %v", name, err)
 		}
 		if found.Name() != "scenario" || !found.DisableFlagParsing || len(rest) != 2 {
-			t.Errorf("Find(%q) = command %q with arguments %q, want scenario with 2 unparsed arguments", name, found.Name(), rest)
+			t.Errorf("Find(%q) = command %q with arguments %q, want scenario with 2 unparsed arguments",
+				name, found.Name(), rest)
 		}
 	}
 }
--- a/internal/core/interleaving_test.go
+++ b/internal/core/interleaving_test.go
@@ -78,7 +78,8 @@
 			proceed()
 			h.advance(3 * time.Second)
 			if d.attempts != before || len(d.answers) != 0 || h.ActiveRequests() != 0 || h.Counts.ClientsGone != 1 {
-				t.Errorf("after ClientGone: %d more attempts, answers %v, %d active requests, %d clients gone; want only one client gone",
+				t.Errorf("after ClientGone: %d more attempts, answers %v, %d active requests, %d clients gone; "+
+					"want only one client gone",
 					d.attempts-before, d.answers, h.ActiveRequests(), h.Counts.ClientsGone)
 			}
 		})
@@ -202,7 +203,8 @@
 				want = ""
 			}
 			if d.answerText() != want || d.attempts != 1 || h.ActiveRequests() != 0 || h.Counts.Served+h.Counts.Failed != 1 || len(h.records) != 2 {
-				t.Errorf("result %d, established %v: answers %v, want %q; %d attempts, want 1; %d active requests, counts %+v, records %v",
+				t.Errorf("result %d, established %v: answers %v, want %q; %d attempts, want 1; %d active requests, want 0; "+
+					"counts %+v, want 1 served or failed; records %v, want 2",
 					result, established, d.answers, want, d.attempts, h.ActiveRequests(), h.Counts, h.records)
 			}
 			h.wantNoFlowsInPolicy(fmt.Sprintf("result %d, established %v", result, established))
--- a/internal/core/model_client_test.go
+++ b/internal/core/model_client_test.go
@@ -71,7 +71,8 @@
 func (c *modelClient) checkMayCall(call string) {
 	m := c.model
 	if c.gone || c.migrations > 0 || m.finished && call != "migrate" && call != "cancel" && !c.arrivedAfterStop {
-		m.Fatalf("request %d: call of %s, which is not allowed any more (client gone %v, migrated %d times, FinishStop called %v)",
+		m.Fatalf("request %d: call of %s, which is not allowed any more (client gone %v, migrated %d times, "+
+			"FinishStop called %v)",
 			c.id, call, c.gone, c.migrations, m.finished)
 	}
 }
--- a/internal/core/model_test.go
+++ b/internal/core/model_test.go
@@ -154,7 +154,8 @@
 	c.id = m.core.Open(c.request, c)
 	m.opening = outer
 	if (c.arrivedAfterStop || m.notReady) && (len(c.answers) != 1 || c.answers[0] != "rejected") {
-		m.Fatalf("request %d: arrived after the stop (%v) or while nothing could be recorded (%v): answers %v, want a rejection",
+		m.Fatalf("request %d: arrived after the stop (%v) or while nothing could be recorded (%v): answers %v, "+
+			"want a rejection",
 			c.id, c.arrivedAfterStop, m.notReady, c.answers)
 	}
 	if c.request.TimeLeft <= 0 && len(c.answers) != 1 {
--- a/internal/core/request_test.go
+++ b/internal/core/request_test.go
@@ -22,7 +22,8 @@
 	h.now += 3 * time.Second
 	h.Tick()
 	if waiting.answerText() != "rejected" || sent.answerText() != "failed" || h.ActiveRequests() != 0 {
-		t.Errorf("answer without an attempt %q, want rejected; with an attempt in flight %q, want failed; %d active requests, want 0",
+		t.Errorf("answer without an attempt %q, want rejected; with an attempt in flight %q, want failed; "+
+			"%d active requests, want 0",
 			waiting.answerText(), sent.answerText(), h.ActiveRequests())
 	}
 }
--- a/internal/core/shutdown_test.go
+++ b/internal/core/shutdown_test.go
@@ -89,7 +89,8 @@
 	h.Stop()
 	h.FinishStop()
 	if flow.migrations != 1 || len(pending.answers) != 1 || pending.answers[0] != "rejected" || pending.inFlight != 0 || h.ActiveRequests() != 0 {
-		t.Errorf("flow migrated %d times; pending request: answers %v, %d in flight; %d active requests; want 1, a rejection, 0, 0",
+		t.Errorf("flow migrated %d times; pending request: answers %v, %d in flight; %d active requests; "+
+			"want 1, a rejection, 0, 0",
 			flow.migrations, pending.answers, pending.inFlight, h.ActiveRequests())
 	}
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -111,7 +111,8 @@
 				key = "report.source" // which requires probes
 			}
 			if len(problems) != 1 || !strings.Contains(problems[0].Error(), key) || strings.HasSuffix(problems[0].Error(), ": ") {
-				t.Errorf("Validate of %s with %s = %v: errors %v, want one that names %s and a reason", file, path, invalid, problems, key)
+				t.Errorf("Validate of %s with %s = %v: errors %v, want one that names %s and a reason",
+					file, path, invalid, problems, key)
 			}
 		}
 	}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -187,7 +187,8 @@
 	f.u8(evRequest).u64(7).u64(0).f64(3000).f64(0).u32(0).u8(0).u16(0).u64(0)
 	got, _, err := decodeStream(f.batch(1000, launchRecords+3))
 	if err != nil || !strings.Contains(got, "efbe0000") || strings.Contains(got, "edfe0000") {
-		t.Errorf("reply %s, error %v, want a send to 0xbeef of the new list and none to 0xfeed of the replaced list", got, err)
+		t.Errorf("reply %s, error %v, want a send to 0xbeef of the new list and none to 0xfeed of the replaced list",
+			got, err)
 	}
 }
 
