--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -126,7 +126,8 @@
 	migrationsDeferred bool          // a migration has been deferred at least once
 }
 
-// Counts are the counters of a Core.
+// Counts are the counters of a Core. Blocked counts the sends, of requests and of messages, and the
+// probes that were due but not allowed by mayStart or another rule.
 type Counts struct {
 	Requests, Served, Rejected, Failed, ClientsGone, Attempts, Migrations, Blocked int
 	// SentAfterGrace counts attempts sent to members that were removed longer ago than the drain grace.
--- a/internal/core/feed.go
+++ b/internal/core/feed.go
@@ -37,7 +37,8 @@
 	OnCapacity()
 }
 
-// MessageCounts are the counters of the messages on feeds.
+// MessageCounts are the counters of the messages on feeds. Retried counts the attempts that the end of
+// a link cut off, whether or not the message may be retried.
 type MessageCounts struct{ Accepted, Served, Rejected, Failed, Attempts, Retried int }
 
 // feedState is the state of a feed.
--- a/internal/core/removals_test.go
+++ b/internal/core/removals_test.go
@@ -7,10 +7,10 @@
 	"dahliarudder/policy"
 )
 
-// TestEject checks that an ejected member gets nothing new, neither by discovery nor by a resumed
-// flow, and that its flows are migrated. A reinstated member counts as just started until discovery
-// lists its start, and its old failures are forgotten. One reinstatement ends two ejections of the
-// same member.
+// TestEject checks that an ejected member gets nothing new, neither when discovery lists it as ready
+// nor for a resumed flow, and that its flows are migrated. A reinstated member counts as just started
+// until discovery lists its start, and its old failures are forgotten. One reinstatement ends two
+// ejections of the same member.
 func TestEject(t *testing.T) {
 	h := newHarness(t, 1)
 	var probed int
--- a/internal/wire/events.go
+++ b/internal/wire/events.go
@@ -142,7 +142,7 @@
 	}
 	switch noteKind {
 	case noteLoad:
-		b.UpdateLoad(now, r, value/1e6)
+		b.UpdateLoad(now, r, value/1e6) // sent in millionths
 	case noteLatency:
 		if latency, ok := settings.ParseMillis(value); ok {
 			b.ObserveLatency(now, r, latency)
@@ -219,6 +219,6 @@
 func (q *decodedRequest) setFlags(flags uint16, hint float64) {
 	q.MidFlow, q.Reconnect = flags&flagMidFlow != 0, flags&flagReconnect != 0
 	if flags&flagLoadHint != 0 {
-		q.Load = hint / 1e3
+		q.Load = hint / 1e3 // sent in thousandths
 	}
 }
--- a/policy/api.go
+++ b/policy/api.go
@@ -51,7 +51,7 @@
 // Tenant is one of the customers that share the members.
 type Tenant struct {
 	Share float64 // fraction of the service; the shares need not add up to one
-	Quota float64 // open connections over all relays that the share covers; 0 if unknown
+	Quota float64 // open connections, at all relays together, that the share entitles to; 0 if unknown
 }
 
 // ReportSource says how load reports reach the relay.
@@ -66,7 +66,7 @@
 
 // Settings configures a Balancer. New replaces missing and invalid values with safe ones.
 type Settings struct {
-	Balancers   int // number of relays in this tier, this one included
+	Balancers   int // number of relays that share the members, this one included
 	Zone        int // zone of this relay
 	Zones       int
 	Classes     []Class
