--- a/policy/api.go
+++ b/policy/api.go
@@ -32,9 +32,9 @@
 
 // The scopes of idempotency keys.
 const (
-	ScopeAll Scope = iota
-	ScopeZone
-	ScopeCell
+	ScopeAll  Scope = iota // all members
+	ScopeZone              // the members of the same zone
+	ScopeCell              // the members of the same cell
 )
 
 // Class describes one class of requests.
@@ -51,7 +51,7 @@
 // Tenant is one of the customers that share the members.
 type Tenant struct {
 	Share float64 // fraction of the service; the shares need not add up to one
-	Quota float64 // open connections over all relays that the share covers; 0 if unknown
+	Quota float64 // open connections, at all relays together, that the share entitles to; 0 if unknown
 }
 
 // ReportSource says how load reports reach the relay.
@@ -66,7 +66,7 @@
 
 // Settings configures a Balancer. New replaces missing and invalid values with safe ones.
 type Settings struct {
-	Balancers   int // number of relays in this tier, this one included
+	Balancers   int // number of relays that share the members, this one included
 	Zone        int // zone of this relay
 	Zones       int
 	Classes     []Class
@@ -108,8 +108,8 @@
 type Endpoint struct {
 	ID      MemberID
 	Zone    int
-	Kind    int
-	Cell    int
+	Kind    int // members of one kind have a similar capacity per unit of Weight
+	Cell    int // see ScopeCell
 	State   MemberState
 	Weight  float64       // relative size; a rough guide
 	Started time.Duration // time of the latest start; 0 if unknown or long ago
