--- a/internal/consensus/envelope_test.go
+++ b/internal/consensus/envelope_test.go
@@ -2,10 +2,18 @@
 
 import (
 	"bytes"
+	"cmp"
 	"context"
 	"encoding/binary"
+	"errors"
+	"fmt"
+	"maps"
+	"net/http"
+	"net/http/httptest"
 	"testing"
 	"time"
+
+	"dahliarudder/internal/gossip"
 )
 
 // TestDuplicateNames checks that two relays with the same name are reported by the relays that receive from
@@ -100,3 +108,111 @@
 		t.Error("verifyResponse accepts another part of the same response")
 	}
 }
+
+// deadlineRecorder is a ResponseRecorder whose read deadline can be set unless err is set.
+type deadlineRecorder struct {
+	*httptest.ResponseRecorder
+	err error
+}
+
+func (r deadlineRecorder) SetReadDeadline(time.Time) error { return r.err }
+
+// TestRejectedKeys checks the key under which Status.Rejected counts each request that is rejected before
+// it is handled. The keys are part of the answer to GET /-/fleet. A request with a wrong epoch or a low
+// start is answered with a response code and not counted.
+func TestRejectedKeys(t *testing.T) {
+	key, otherKey := []byte("a key of the installation, 32 or more"), []byte("a key that this node does not have, 32")
+	const epoch, start = 4, 9
+	const unknownKind = 'x'
+	seal := func(epoch, start, sequence uint64, from, to string) []byte {
+		b, _ := sealRequest(key, epoch, start, sequence, unknownKind, from, to, []byte("body"))
+		return b
+	}
+	valid := func() []byte { return seal(epoch, start, 2, "a", "v0") }
+	withByte := func(b []byte, at int, value byte) []byte {
+		b[at] = value
+		return b
+	}
+	foreign, _ := sealRequest(otherKey, epoch, start, 2, unknownKind, "a", "v0", nil)
+	badName := withByte(valid(), envelopeFixedSize, maxNameSize) // longer than the rest of the request
+	badName = append(badName[:len(badName)-tagSize], computeTag(key, badName[:len(badName)-tagSize])...)
+	for _, tt := range []struct {
+		name        string
+		key         string // "" if the request is not counted
+		status      int
+		code        byte // of the sealed response, if status is 200
+		body        []byte
+		method      string
+		length      int64 // announced length minus the length of the body
+		deadlineErr error
+		senders     int // number of other senders that are known already
+	}{
+		{name: "method", key: "path", status: http.StatusNotFound, body: valid(), method: http.MethodGet},
+		{name: "announced length", key: "size", status: http.StatusRequestEntityTooLarge, body: valid(), length: maxLargeRequest},
+		{name: "read deadline", key: "deadline", status: http.StatusOK, body: valid(), deadlineErr: http.ErrNotSupported},
+		{name: "truncated body", key: "read", status: http.StatusOK, body: valid(), length: 1},
+		{name: "short envelope", key: "size", status: http.StatusForbidden, body: valid()[:tagSize]},
+		{name: "name length", key: "size", status: http.StatusForbidden, body: badName},
+		{name: "empty sender", key: "size", status: http.StatusForbidden, body: seal(epoch, start, 2, "", "v0")},
+		{name: "too many senders", key: "size", status: http.StatusForbidden, body: seal(epoch, start, 1, "b", "v0"), senders: maxSenders - 1},
+		{name: "unknown version", key: "version", status: http.StatusForbidden, body: withByte(valid(), 0, envelopeVersion+1)},
+		{name: "unknown key", key: "key", status: http.StatusForbidden, body: foreign},
+		{name: "altered body", key: "tag", status: http.StatusForbidden, body: withByte(valid(), len(valid())-tagSize-1, 'X')},
+		{name: "wrong receiver", key: "for another relay", status: http.StatusForbidden, body: seal(epoch, start, 2, "a", "v1")},
+		{name: "replayed", key: "repeated", status: http.StatusForbidden, body: seal(epoch, start, 1, "a", "v0")},
+		{name: "wrong epoch", status: http.StatusOK, code: codeWrongEpoch, body: seal(epoch-1, start, 2, "a", "v0")},
+		{name: "stale start", status: http.StatusOK, code: codeStaleStart, body: seal(epoch, start-1, 2, "a", "v0")},
+	} {
+		t.Run(tt.name, func(t *testing.T) {
+			n := newNode(Options{Name: "v0", Voters: map[string]string{"v0": ""}, Keys: [][]byte{key}, Machine: &hashMachine{}}, nil)
+			n.replayGuard.epoch = epoch
+			n.replayGuard.senders = map[string]*senderWindow{}
+			for i := range tt.senders {
+				n.replayGuard.senders[fmt.Sprint("sender ", i)] = &senderWindow{}
+			}
+			post := func(method string, body []byte, length int64, deadlineErr error) *httptest.ResponseRecorder {
+				r := httptest.NewRequest(method, endpointPath, bytes.NewReader(body))
+				r.ContentLength = int64(len(body)) + length
+				w := deadlineRecorder{httptest.NewRecorder(), deadlineErr}
+				n.serveHTTP(w, r)
+				return w.ResponseRecorder
+			}
+			if w := post(http.MethodPost, seal(epoch, start, 1, "a", "v0"), 0, nil); w.Code != http.StatusOK || len(n.Status().Rejected) != 0 {
+				t.Fatalf("valid request: status %d, Rejected = %v; want status 200 and none", w.Code, n.Status().Rejected)
+			}
+			w := post(cmp.Or(tt.method, http.MethodPost), tt.body, tt.length, tt.deadlineErr)
+			if w.Code != tt.status {
+				t.Errorf("status %d, want %d", w.Code, tt.status)
+			}
+			if response := w.Body.Bytes(); tt.code != 0 && (len(response) != tagSize+9 || response[tagSize] != tt.code) {
+				t.Errorf("response %x, want a sealed response with code %d and a value of 8 bytes", response, tt.code)
+			}
+			want := map[string]uint64{}
+			if tt.key != "" {
+				want[tt.key] = 1
+			}
+			if got := n.Status().Rejected; !maps.Equal(got, want) {
+				t.Errorf("Rejected = %v, want %v", got, want)
+			}
+		})
+	}
+}
+
+// TestInvalidResponseError checks the error of a replacement whose new relay answers without a valid tag.
+// The text is sent to the operator in the HTTP response to the replacement.
+func TestInvalidResponseError(t *testing.T) {
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		w.Write(make([]byte, tagSize+1))
+	}))
+	defer server.Close()
+	address := server.Listener.Addr().String()
+	n := newNode(Options{Name: "v0", Voters: map[string]string{"v0": ""}, Keys: [][]byte{[]byte("key one")}, Machine: &hashMachine{}}, nil)
+	defer n.Close()
+	err := n.Replace(context.Background(), "v0", "r0", address)
+	if !errors.Is(err, gossip.ErrBadTag) {
+		t.Errorf("Replace: error %v, want one that wraps %v", err, gossip.ErrBadTag)
+	}
+	if want := "consensus: r0 at " + address + ": answer of r0: tag"; err == nil || err.Error() != want {
+		t.Errorf("Replace: error %v, want %s", err, want)
+	}
+}
--- a/internal/gossip/envelope_test.go
+++ b/internal/gossip/envelope_test.go
@@ -2,7 +2,9 @@
 
 import (
 	"bytes"
+	"cmp"
 	"errors"
+	"maps"
 	"math"
 	"os"
 	"path/filepath"
@@ -78,6 +80,62 @@
 	}
 }
 
+// TestRejectedKeys checks the key under which Opener.Rejected counts each rejection. The keys are part
+// of the answer to GET /-/peers.
+func TestRejectedKeys(t *testing.T) {
+	const now = time.Hour
+	const minute = 60_000 // in milliseconds of the clocks
+	const addr, otherAddr = "10.0.0.1:7", "10.0.0.2:7"
+	seal := func(name string, start, seq uint64) []byte {
+		s := Sealer{Keys: Keys{oldKey}, Name: name, Start: start, seq: seq - 1}
+		return s.Seal([]byte("content"), minute)
+	}
+	withByte := func(b []byte, at int, value byte) []byte {
+		b[at] = value
+		return b
+	}
+	foreignKey := Sealer{Keys: Keys{newKey}, Name: "n1", Start: 7000}
+	for _, tt := range []struct {
+		name     string
+		key      string
+		err      error
+		datagram []byte
+		clock    uint64
+		from     string
+		senders  int // number of other senders that are known already
+	}{
+		{name: "datagram too short", key: "size", err: ErrSize, datagram: seal("n1", 7000, 201)[:headerSize]},
+		{name: "datagram too long", key: "size", err: ErrSize, datagram: make([]byte, MaxDatagramSize+1)},
+		{name: "empty name", key: "size", err: ErrSize, datagram: seal("", 7000, 201)},
+		{name: "too many senders", key: "size", err: ErrSize, datagram: seal("n2", 7000, 1), senders: maxSenders - 1},
+		{name: "unknown version", key: "version", err: ErrVersion, datagram: withByte(seal("n1", 7000, 201), 0, envelopeVersion+1)},
+		{name: "unknown key", key: "key", err: ErrUnknownKey, datagram: foreignKey.Seal([]byte("content"), minute)},
+		{name: "altered content", key: "tag", err: ErrBadTag, datagram: withByte(seal("n1", 7000, 201), headerSize+2, 'X')},
+		{name: "earlier process", key: "old", err: ErrTooOld, datagram: seal("n1", 6000, 201)},
+		{name: "delayed", key: "old", err: ErrTooOld, datagram: seal("n1", 7000, 201), clock: 2 * minute},
+		{name: "replayed", key: "repeated", err: ErrReplayed, datagram: seal("n1", 7000, 200)},
+		{name: "behind the replay window", key: "repeated", err: ErrReplayed, datagram: seal("n1", 7000, 100)},
+		{name: "two relays with one name", key: "two relays of one name", err: ErrNameConflict, datagram: seal("n1", 6000, 201), from: otherAddr},
+	} {
+		t.Run(tt.name, func(t *testing.T) {
+			o := Opener{Keys: Keys{oldKey}}
+			if _, _, err := o.Open(now, minute, addr, seal("n1", 7000, 200)); err != nil {
+				t.Fatalf("Open of the first datagram: error %v, want none", err)
+			}
+			for i := range tt.senders {
+				o.senders[strings.Repeat("x", i+1)] = &sender{lastContact: now}
+			}
+			_, _, err := o.Open(now, max(tt.clock, minute), cmp.Or(tt.from, addr), tt.datagram)
+			if !errors.Is(err, tt.err) {
+				t.Errorf("Open: error %v, want %v", err, tt.err)
+			}
+			if want := map[string]int{tt.key: 1}; !maps.Equal(o.Rejected, want) {
+				t.Errorf("Rejected = %v, want %v", o.Rejected, want)
+			}
+		})
+	}
+}
+
 // TestReadKeys checks that one or two keys of sufficient length are read from a file that only its
 // owner may access, and that other files are rejected.
 func TestReadKeys(t *testing.T) {
