--- a/internal/consensus/client.go
+++ b/internal/consensus/client.go
@@ -25,6 +25,19 @@
 // text can reach an operator in the HTTP response to a replacement of a voter.
 var errNotSent = errors.New("not sent")
 
+// invalidResponseError means that a relay's response has no valid tag or is empty. The text can reach an
+// operator in the HTTP response to a replacement of a voter, so it ends in gossip.ReasonBadTag and not in
+// the text of gossip.ErrBadTag.
+type invalidResponseError struct {
+	from string
+}
+
+func (e invalidResponseError) Error() string {
+	return "answer of " + e.from + ": " + gossip.ReasonBadTag
+}
+
+func (e invalidResponseError) Unwrap() error { return gossip.ErrBadTag }
+
 // client sends requests to other relays.
 type client struct {
 	node *Node
@@ -125,7 +138,7 @@
 		}
 		b, err = verifyResponse(c.node.options.Keys[0], resp.tag, 0, b)
 		if err != nil || len(b) == 0 {
-			return nil, fmt.Errorf("answer of %s: %w", to.name, gossip.ErrBadTag)
+			return nil, invalidResponseError{to.name}
 		}
 		if !c.updateEpochOrStart(to.name, resp.start, b) {
 			return b, nil
--- a/internal/consensus/envelope.go
+++ b/internal/consensus/envelope.go
@@ -35,8 +35,8 @@
 	responseLabel = "answer"
 )
 
-// errWrongReceiver rejects a request for another relay. verifyRequest's other errors are gossip's. The text
-// of each is a key of Status.Rejected.
+// errWrongReceiver rejects a request for another relay. verifyRequest's other errors are gossip's. The
+// reason of each (gossip.RejectReason) is a key of Status.Rejected.
 var errWrongReceiver = errors.New("for another relay")
 
 // keyID identifies the key that an envelope is sealed with.
--- a/internal/consensus/server.go
+++ b/internal/consensus/server.go
@@ -8,6 +8,8 @@
 	"net/http"
 	"sync"
 	"time"
+
+	"dahliarudder/internal/gossip"
 )
 
 const (
@@ -71,7 +73,7 @@
 	}
 	req, err := verifyRequest(n.options.Keys, n.options.Name, body)
 	if err != nil {
-		n.countRejected(err.Error())
+		n.countRejected(gossip.RejectReason(err))
 		w.WriteHeader(http.StatusForbidden)
 		return req, false
 	}
@@ -84,7 +86,7 @@
 	case errors.Is(err, errStaleStart):
 		n.respond(w, req, binary.BigEndian.AppendUint64([]byte{codeStaleStart}, start))
 	default:
-		n.countRejected(err.Error())
+		n.countRejected(gossip.RejectReason(err))
 		w.WriteHeader(http.StatusForbidden)
 	}
 	return req, false
--- a/internal/consensus/status.go
+++ b/internal/consensus/status.go
@@ -40,7 +40,8 @@
 	droppedReplies         = "told"        // replies to this relay: its queue was full
 )
 
-// The keys of Status.Rejected, besides the texts of the errors that the envelope check returns.
+// The keys of Status.Rejected, besides the reasons of the errors that the envelope check returns
+// (gossip.RejectReason).
 const (
 	rejectedPath     = "path"     // not a POST to endpointPath
 	rejectedSize     = "size"     // no content length, or more than maxLargeRequest
@@ -182,7 +183,7 @@
 	n.dropped[key]++
 }
 
-// countRejected counts a rejected request under one of the rejected keys, or under the text of an
+// countRejected counts a rejected request under one of the rejected keys, or under the reason of an
 // error of the envelope check.
 func (n *Node) countRejected(key string) {
 	n.mu.Lock()
--- a/internal/gossip/envelope.go
+++ b/internal/gossip/envelope.go
@@ -8,29 +8,61 @@
 	"time"
 )
 
-// The reasons why Opener rejects a datagram before it decodes the content. The texts are the keys
-// of Opener.Rejected and of the counters in the answer to GET /-/peers, so they must not change.
-// Package consensus counts its rejected requests under the same keys.
+// Reasons for rejecting an envelope. They are the keys of Opener.Rejected and of the counters in the
+// answer to GET /-/peers, so they must not change. Package consensus counts its rejected requests under
+// the same keys.
+const (
+	ReasonSize         = "size"
+	ReasonVersion      = "version"
+	ReasonUnknownKey   = "key"
+	ReasonBadTag       = "tag"
+	ReasonTooOld       = "old"
+	ReasonReplayed     = "repeated"
+	ReasonNameConflict = "two relays of one name"
+)
+
+// The errors for rejected envelopes. Opener.Open returns them for datagrams before it decodes the
+// content; package consensus uses some of them for its requests and responses.
 var (
-	// ErrSize: the datagram or the name in it is too short or too long, or there are maxSenders
+	// ErrSize: the envelope or a name in it is too short or too long, or there are maxSenders
 	// senders already.
-	ErrSize = errors.New("size")
+	ErrSize = NewRejectError(ReasonSize, "envelope: size or name length is out of range, or there are too many senders")
 	// ErrVersion: the envelope version is not supported.
-	ErrVersion = errors.New("version")
+	ErrVersion = NewRejectError(ReasonVersion, "envelope: version is not supported")
 	// ErrUnknownKey: the key ID matches none of the configured keys.
-	ErrUnknownKey = errors.New("key")
-	// ErrBadTag: the authentication tag does not match the datagram.
-	ErrBadTag = errors.New("tag")
+	ErrUnknownKey = NewRejectError(ReasonUnknownKey, "envelope: key ID matches no configured key")
+	// ErrBadTag: the authentication tag does not match the envelope.
+	ErrBadTag = NewRejectError(ReasonBadTag, "envelope: authentication tag does not match")
 	// ErrTooOld: the datagram is from an earlier process of the sender, or was delayed for more
 	// than maxDelay.
-	ErrTooOld = errors.New("old")
+	ErrTooOld = NewRejectError(ReasonTooOld, "envelope: sent by an earlier process of the sender, or delayed too long")
 	// ErrReplayed: the sequence number was received before, or is too far behind the highest one
 	// to tell.
-	ErrReplayed = errors.New("repeated")
+	ErrReplayed = NewRejectError(ReasonReplayed, "envelope: sequence number was received before, or is too old to tell")
 	// ErrNameConflict: two processes with the same relay name are sending from different addresses.
-	ErrNameConflict = errors.New("two relays of one name")
+	ErrNameConflict = NewRejectError(ReasonNameConflict, "envelope: two processes send under the same relay name")
 )
 
+// rejectError is an error for a rejected envelope, with the reason that the rejection is counted under.
+type rejectError struct {
+	reason, text string
+}
+
+func (e *rejectError) Error() string { return e.text }
+
+// NewRejectError returns an error with the given text, for which RejectReason returns the given reason.
+func NewRejectError(reason, text string) error { return &rejectError{reason, text} }
+
+// RejectReason returns the reason of an error that NewRejectError returned, or that wraps such an error.
+// For any other error it returns the text.
+func RejectReason(err error) string {
+	var e *rejectError
+	if errors.As(err, &e) {
+		return e.reason
+	}
+	return err.Error()
+}
+
 // An envelope consists of the version, the key ID, the sender's start time, sequence number and
 // clock, the length of its name, the name, the content and the authentication tag. A later version
 // could add a signature of the sender after the tag.
@@ -86,7 +118,7 @@
 type Opener struct {
 	Keys     Keys
 	senders  map[string]*sender
-	Rejected map[string]int // number of rejected datagrams by error text
+	Rejected map[string]int // number of rejected datagrams by reason
 }
 
 // Open verifies an envelope and returns the sender's name and the content. Clock is the receiver's
@@ -96,7 +128,7 @@
 		if o.Rejected == nil {
 			o.Rejected = map[string]int{}
 		}
-		o.Rejected[err.Error()]++
+		o.Rejected[RejectReason(err)]++
 	}
 	return name, content, err
 }
