--- a/internal/consensus/client.go
+++ b/internal/consensus/client.go
@@ -25,9 +25,9 @@
 // text can reach an operator in the HTTP response to a replacement of a voter.
 var errNotSent = errors.New("not sent")
 
-// invalidResponseError means that a relay's response has no valid tag or is empty. The text can reach an
-// operator in the HTTP response to a replacement of a voter, so it ends in gossip.ReasonBadTag and not in
-// the text of gossip.ErrBadTag.
+// invalidResponseError means that a relay's response has no valid authentication tag or is empty. The text
+// can reach an operator in the HTTP response to a replacement of a voter, so it must not change: it ends in
+// gossip.ReasonBadTag, not in the text of gossip.ErrBadTag.
 type invalidResponseError struct {
 	from string
 }
--- a/internal/consensus/envelope.go
+++ b/internal/consensus/envelope.go
@@ -4,7 +4,6 @@
 	"crypto/hmac"
 	"crypto/sha256"
 	"encoding/binary"
-	"errors"
 
 	"dahliarudder/internal/gossip"
 )
@@ -35,9 +34,13 @@
 	responseLabel = "answer"
 )
 
+// reasonWrongReceiver is a key of Status.Rejected and of the counters in the answer to GET /-/fleet, so it
+// must not change.
+const reasonWrongReceiver = "for another relay"
+
 // errWrongReceiver rejects a request for another relay. verifyRequest's other errors are gossip's. The
 // reason of each (gossip.RejectReason) is a key of Status.Rejected.
-var errWrongReceiver = errors.New("for another relay")
+var errWrongReceiver = gossip.NewRejectError(reasonWrongReceiver, "request: addressed to another relay")
 
 // keyID identifies the key that an envelope is sealed with.
 func keyID(key []byte) []byte {
--- a/internal/consensus/replay_guard.go
+++ b/internal/consensus/replay_guard.go
@@ -18,12 +18,13 @@
 	duplicateThreshold = 3
 )
 
-// Reasons to reject a verified request. The text of errReplayed is a key of Status.Rejected.
-// errWrongEpoch and errStaleStart are answered with codeWrongEpoch and codeStaleStart, uncounted.
+// Errors for a verified request that is rejected. errReplayed is counted under its reason in
+// Status.Rejected. errWrongEpoch and errStaleStart are answered with codeWrongEpoch and codeStaleStart,
+// uncounted, and their texts are not sent.
 var (
-	errWrongEpoch = errors.New("epoch")    // sealed for another process of the receiver
-	errStaleStart = errors.New("old")      // the sender's start is lower than one already received
-	errReplayed   = errors.New("repeated") // the sequence number was received before, or is too old
+	errWrongEpoch = errors.New("request: wrong epoch: sealed for another process of the receiver")
+	errStaleStart = errors.New("request: the sender's start is lower than one already received")
+	errReplayed   = gossip.NewRejectError(gossip.ReasonReplayed, "request: sequence number was received before, or is behind the replay window")
 )
 
 // replayGuard rejects requests that were received before. It remembers at most maxSenders senders.
