--- a/internal/netloop/listener.go
+++ b/internal/netloop/listener.go
@@ -162,7 +162,7 @@
 		return
 	}
 	for range acceptBurst {
-		if s.fd < 0 || s.paused || s.acceptNext() != acceptTaken {
+		if s.fd < 0 || s.paused || s.acceptNext() != acceptedOne {
 			return
 		}
 	}
@@ -172,7 +172,7 @@
 type acceptResult int
 
 const (
-	acceptTaken acceptResult = iota // one connection was accepted, or had ended already; there may be more
+	acceptedOne acceptResult = iota // one connection was accepted, or had ended already; there may be more
 	backlogEmpty
 	backlogStuck // nothing can be accepted now; accepting resumes after a pause
 )
@@ -194,7 +194,7 @@
 		return backlogEmpty
 	case err != nil && isAborted(err) && s.abortedInRow < acceptBurst:
 		s.abortedInRow++
-		return acceptTaken
+		return acceptedOne
 	case err != nil:
 		s.abortedInRow = 0
 		s.pause(resourceRetryDelay)
@@ -203,14 +203,14 @@
 	s.abortedInRow = 0
 	if s.onAcceptFD != nil {
 		s.onAcceptFD(fd)
-		return acceptTaken
+		return acceptedOne
 	}
 	// Evict before onAccept makes the new connection evictable: it must be read at least once.
 	s.budget.evictIfLow()
 	c := newConn(s.loop, fd, s.budget)
 	s.onAccept(c)
 	c.updateInterest()
-	return acceptTaken
+	return acceptedOne
 }
 
 // isAborted reports whether accept failed because the connection had ended already or a signal
