--- a/internal/ejections/file_test.go
+++ b/internal/ejections/file_test.go
@@ -39,9 +39,9 @@
 	}
 }
 
-// TestTornFile: Read returns an error and no names for a truncated file, and Set replaces it. Guards
+// TestTruncatedFile: Read returns an error and no names for a truncated file, and Set replaces it. Guards
 // against a relay that does not start because a full disk has truncated the file.
-func TestTornFile(t *testing.T) {
+func TestTruncatedFile(t *testing.T) {
 	f := File{t.TempDir()}
 	if err := os.WriteFile(f.path(), []byte(`["a","b`), 0o600); err != nil {
 		t.Fatal(err)
--- a/internal/front/line/member_change_test.go
+++ b/internal/front/line/member_change_test.go
@@ -7,9 +7,9 @@
 	"dahliarudder/policy"
 )
 
-// TestSuspicionWhileDialing checks that nothing is sent on a connection that is established while
+// TestPausedWhileDialing checks that nothing is sent on a connection that is established while
 // dispatch is paused, and that the request continues after that.
-func TestSuspicionWhileDialing(t *testing.T) {
+func TestPausedWhileDialing(t *testing.T) {
 	g := newRig(t, 1)
 	c := g.sendRequest(firstLine)
 	g.Core.PauseDispatch()
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -29,11 +29,11 @@
 	return s
 }
 
-func waitFor(t *testing.T, what string, condition func() bool) {
+func waitFor(t *testing.T, event string, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("timed out waiting for %s", what)
+			t.Fatalf("timed out waiting for %s", event)
 		}
 	}
 }
@@ -137,7 +137,8 @@
 		waitFor(t, "the store to be ready again", s.Ready)
 		waitFor(t, "the end of the outage to be logged", func() bool { return logged(logrus.InfoLevel) >= outage })
 		if failures, recoveries := logged(logrus.ErrorLevel), logged(logrus.InfoLevel); failures != outage || recoveries != outage {
-			t.Errorf("after %d outages: %d failures and %d recoveries logged, want %d each", outage, failures, recoveries, outage)
+			t.Errorf("after %d outages: %d failures and %d recoveries logged, want %d each",
+				outage, failures, recoveries, outage)
 		}
 	}
 	if err := s.Close(20 * time.Second); err != nil {
