--- a/internal/front/line/client.go
+++ b/internal/front/line/client.go
@@ -19,7 +19,7 @@
 	requestID    core.ID
 	state        clientState
 	openLine     openLine
-	upstream     *upstream      // the attempt in flight or the member's side of the open flow; nil before the first attempt
+	upstream     *upstream      // the attempt in flight or the member's side of the flow; nil before the first attempt
 	timer        *netloop.Timer // fires eventTimeout when the time limit of the state has passed
 	retryAfter   time.Duration  // sent to the client with BUSY if above 0
 	blockedBytes int            // bytes from the client that did not fit in the send buffer to the member
@@ -226,9 +226,9 @@
 	c.handle(eventRejected)
 }
 
-// cancelRequest ends a request whose client has closed its sending side. The client may be gone or
-// may still read: no further attempt is made, and it is sent a final answer. BUSY says that a retry
-// is harmless, ERR that the request may have run.
+// cancelRequest ends a request whose client has closed its sending side or whose connection was lost.
+// No further attempt is made. The client may still read, so it is sent a final answer: BUSY says that
+// a retry is harmless, ERR that the request may have run.
 func (c *clientConn) cancelRequest() {
 	if c.front.Core.ClientGone(c.requestID) {
 		c.sendBusy()
@@ -254,8 +254,8 @@
 // Fail implements core.Downstream. It answers ERR: the request may have run.
 func (c *clientConn) Fail() { c.handle(eventFailed) }
 
-// Migrate implements core.Downstream. It sends MOVE, after the end of a line that has been forwarded
-// in part, and closes both sides.
+// Migrate implements core.Downstream. It sends MOVE and closes both sides. If part of a line from the
+// member has been forwarded, MOVE waits for the end of that line.
 func (c *clientConn) Migrate() { c.handle(eventMigrate) }
 
 func (c *clientConn) closeBoth() {
--- a/internal/front/line/client_state.go
+++ b/internal/front/line/client_state.go
@@ -10,8 +10,8 @@
 	clientOpen                                // the flow is open, and the client has received complete lines only
 	clientMidLine                             // the flow is open, and part of a line from the member has been forwarded
 	clientMigrating                           // like clientMidLine, and MOVE is to be sent after the end of that line
-	clientFlushingToClient                    // the member has closed; its remaining bytes are being forwarded to the client
-	clientFlushingToMember                    // the client has closed; its remaining bytes are being forwarded to the member
+	clientFlushingToClient                    // the member has closed; its remaining bytes are forwarded to the client
+	clientFlushingToMember                    // the client has closed; its remaining bytes are forwarded to the member
 	clientClosed                              // the client's connection is closed
 	clientStateCount                          // the number of states
 )
@@ -59,10 +59,10 @@
 	openFlow                        // forward the bytes that the client sent early; UP has already been forwarded to it
 	closeClient                     // close the client's side gracefully
 	resetClient                     // reset the client's side
-	cancelRequest                   // report to the core that the client left, send a final answer in case it still reads, and close its side
+	cancelRequest                   // report to the core that the client left, send a final answer, close its side
 	closeFlow                       // report to the core that the client left, and close both sides gracefully
 	resetFlow                       // like closeFlow, but reset the member's side
-	flushThenCloseFlow              // report to the core that the client left, and keep forwarding its bytes for at most MoveTimeout
+	flushThenCloseFlow              // report to the core that the client left; forward its bytes for at most MoveTimeout
 	awaitLineEnd                    // wait for the end of the line, for at most MoveTimeout
 	sendMove                        // send MOVE and close both sides
 	closeBothSides                  // close both sides gracefully
--- a/internal/front/line/handoff.go
+++ b/internal/front/line/handoff.go
@@ -58,7 +58,7 @@
 	MidLine       bool              `json:"within"`      // whether part of a line from the member has been forwarded
 	LinePrefix    []byte            `json:"tail"`        // the start of that line
 	FinalCommand  string            `json:"last"`        // BYE or MOVE if the member has sent it, or empty
-	AnswerPending time.Duration     `json:"asked"`       // how long the client has waited for an answer; 0 if it is not waiting
+	AnswerPending time.Duration     `json:"asked"`       // how long the client has waited for an answer; 0 if not waiting
 	ClientQuiet   time.Duration     `json:"heard"`       // how long the client has sent nothing
 }
 
@@ -105,8 +105,8 @@
 	return -1, -1
 }
 
-// AdoptFlow continues a flow that another process has handed off. It migrates the client if the
-// flow's member is not known here.
+// AdoptFlow continues a flow that another process has handed off. It migrates the client if this
+// process does not know the flow's member.
 func (f *Front) AdoptFlow(handoff FlowHandoff, client, member int) {
 	now := f.Loop.Now()
 	c := &clientConn{front: f, state: openStateFor(handoff.MidLine), openLine: openLine{id: handoff.ClientID}}
--- a/internal/front/line/health_check.go
+++ b/internal/front/line/health_check.go
@@ -153,8 +153,8 @@
 	h.report(result, report, false)
 }
 
-// report reports a result to the core. With reuse, the connection is kept for the next check; that
-// is for a connection that brought PONG and nothing after it.
+// report reports a result to the core. With reuse, the connection is kept for the next check. Only a
+// connection that brought PONG and nothing after it may be reused.
 func (h *healthCheck) report(result policy.Result, report policy.Report, reuse bool) {
 	h.timer.Stop()
 	if reuse {
--- a/internal/front/line/health_check_state.go
+++ b/internal/front/line/health_check_state.go
@@ -15,14 +15,14 @@
 type healthCheckEvent int
 
 const (
-	eventCheckDue               healthCheckEvent = iota // the core requests a check, and there is no idle connection to the member's address
+	eventCheckDue               healthCheckEvent = iota // the core requests a check, which needs a new connection
 	eventCheckDueReusable                               // the core requests a check, and the idle connection can be used
 	eventCheckConnected                                 // the connection is open
 	eventCheckAnswered                                  // the member answered PONG and nothing else
-	eventCheckFailed                                    // another answer, more than one line, no answer in time, or the check was not sent
+	eventCheckFailed                                    // another answer, several lines, a timeout, or no check was sent
 	eventCheckConnLost                                  // the connection was closed or lost
-	eventCheckConnLostRetryable                         // a reused connection was closed or lost, and a new one may be dialled
-	eventCheckIdleTimeout                               // the idle connection is closed: its time limit passed or it brought unsolicited data
+	eventCheckConnLostRetryable                         // a reused connection ended, and a new one may be dialled
+	eventCheckIdleTimeout                               // the idle connection timed out or brought unsolicited data
 )
 
 // isPending reports whether a check has no result yet.
--- a/internal/front/line/line.go
+++ b/internal/front/line/line.go
@@ -22,9 +22,9 @@
 const (
 	firstLineTimeout     = 2 * time.Second        // for a complete first line; the protocol allows 3 s
 	idleTimeout          = 30 * time.Second       // for the next line on a connection that was answered PONG
-	clientSilenceTimeout = 30 * time.Second       // after which a client that sends nothing is taken for gone; clients send a line every 2 s
+	clientSilenceTimeout = 30 * time.Second       // for the next bytes of a client, which sends a line every 2 s
 	sweepInterval        = 250 * time.Millisecond // between searches for silent clients and members
-	MoveTimeout          = 500 * time.Millisecond // for the line that MOVE has to follow to end; a shutdown waits as long
+	MoveTimeout          = 500 * time.Millisecond // for the end of a partial line before MOVE; a shutdown waits as long
 	shortageRetryAfter   = 500 * time.Millisecond // sent with BUSY to clients that are rejected for lack of descriptors
 )
 
--- a/internal/front/line/liveness.go
+++ b/internal/front/line/liveness.go
@@ -4,9 +4,9 @@
 
 // Limits of the protocol and behavior of its clients.
 const (
-	maxSilence     = 7 * time.Second // a flow on which the member sends nothing back must be closed within this time
+	maxSilence     = 7 * time.Second // time limit to close a flow on which the member sends nothing back
 	clientInterval = 2 * time.Second // interval between the lines of a client
-	maxLinger      = time.Second     // a flow whose member has closed or sent its final command must be closed within this time
+	maxLinger      = time.Second     // time limit to close a flow whose member has closed or sent its final command
 )
 
 // memberSilenceTimeout is how long a member may leave a client's line unanswered. maxSilence counts
@@ -17,7 +17,7 @@
 const memberSilenceTimeout = maxSilence - clientInterval - sweepInterval - MoveTimeout - maxLoopDelay
 
 const (
-	lingerTimeout = maxLinger - sweepInterval - maxLoopDelay // after a member's final command, if it does not close the connection
+	lingerTimeout = maxLinger - sweepInterval - maxLoopDelay // for a member to close after its final command
 	maxLoopDelay  = 250 * time.Millisecond                   // assumed upper limit for a delay of the event loop
 )
 
--- a/internal/front/line/open_line.go
+++ b/internal/front/line/open_line.go
@@ -18,7 +18,7 @@
 
 // openLine is a parsed OPEN line, the first line of a request.
 type openLine struct {
-	prefix, suffix string // the text before and after the value of d; prefix is the whole line if there is no d
+	prefix, suffix string // the text before and after the value of field d; prefix is the whole line if there is no d
 	hasDeadline    bool   // whether the line has a d field
 	id             uint64
 	request        core.Request
@@ -91,7 +91,9 @@
 	}
 }
 
-// parseField parses one field. Fields with other names are only forwarded.
+// parseField parses one field: c is the class, t the tenant, d the client's remaining wait in
+// milliseconds, g the group, h the expected load in thousandths of work per second, again=1 marks a
+// reconnecting client, and at names the member that has the flow. Other fields are only forwarded.
 func parseField(request *core.Request, set *settings.Settings, name, value string) error {
 	var known bool
 	var err error
--- a/internal/front/line/upstream.go
+++ b/internal/front/line/upstream.go
@@ -23,7 +23,7 @@
 	state    attemptState
 	liveness
 	linePrefix   []byte  // the first bytes of the member's line that is being forwarded, at most maxInspectedBytes
-	load         float64 // the flow's load as the member last reported it
+	load         float64 // the flow's load in work per second, as last reported; LOAD carries it in millionths
 	report       policy.Report
 	blockedBytes int // bytes from the member that did not fit in the send buffer to the client
 }
@@ -78,7 +78,8 @@
 	if u.state != attemptConnected {
 		return
 	}
-	if !u.client.front.Core.MaySend(u.client.requestID, u.attempt) { // for example, the member left while the connection was being set up
+	// The core may object, for example if the member left while the connection was being set up.
+	if !u.client.front.Core.MaySend(u.client.requestID, u.attempt) {
 		u.handle(eventNoConnection)
 		return
 	}
