--- a/internal/front/line/line.go
+++ b/internal/front/line/line.go
@@ -89,7 +89,7 @@
 	now := f.Loop.Now()
 	for c := range f.flows {
 		if u := c.upstream; u.memberSilent(now) {
-			f.Log.WithField("member", u.member.Name).Warn("member has gone silent")
+			f.Log.WithField("member", u.member.Name).Warn("member did not answer the client's lines; migrating the client")
 			c.Migrate()
 			f.Core.AttemptEnded(c.requestID, u.attempt, policy.Reset, u.report)
 		} else if u.memberLingers(now) {
