--- a/internal/front/nats/nats.go
+++ b/internal/front/nats/nats.go
@@ -20,7 +20,7 @@
 
 // Timeouts and intervals of this front.
 const (
-	connectTimeout       = 2 * time.Second        // for a client's CONNECT, and for a TLS handshake; it has to be below 3 s
+	connectTimeout       = 2 * time.Second        // for a client's CONNECT, and for a TLS handshake; must be below 3 s
 	sweepInterval        = 500 * time.Millisecond // between searches for slow clients and silent members
 	memberPingInterval   = 2 * time.Second        // on links with subscriptions
 	memberSilenceTimeout = 5 * time.Second        // for a member's PONG, after which the link is closed
--- a/internal/front/nats/processor.go
+++ b/internal/front/nats/processor.go
@@ -277,7 +277,7 @@
 	}
 }
 
-// finish delivers the final verdict. If the proxy does not take it, it is dropped after
+// finish delivers the final verdict. If it cannot be delivered, it is dropped after
 // verdictRetention.
 func (p *proxiedRequest) finish(v verdict) {
 	p.finished, p.current = true, nil
--- a/internal/gossiptransport/service.go
+++ b/internal/gossiptransport/service.go
@@ -91,8 +91,8 @@
 }
 
 // listen opens the UDP socket and the TCP listener, and retries those that fail. Datagrams do not wait
-// for the listener: without it, other relays can only conclude that this one is gone while it is
-// silent, but without datagrams this relay takes no part in the group.
+// for the listener. Without the listener, dial probes of other relays are refused, but they dial only
+// a relay that does not answer datagrams. Without datagrams, this relay takes no part in the group.
 func (s *Service) listen() {
 	if s.closed {
 		return
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -24,19 +24,19 @@
 // Message is one message of the protocol. Exactly one field is set; a message that carries a
 // connection may have Transfer set in addition.
 type Message struct {
-	Transfer  uint64 `json:"transfer,omitempty"`  // number of this transfer of a connection; 0 if no confirmation is expected
+	Transfer  uint64 `json:"transfer,omitempty"`  // number of this transfer; 0 if no confirmation is expected
 	Confirmed uint64 `json:"confirmed,omitempty"` // number of a transfer whose connection the sender now serves
 
 	Hello            int               `json:"hello,omitempty"`    // protocol version of the newer process
-	State            *State            `json:"state,omitempty"`    // the older process's answer to Hello, with the listening sockets
+	State            *State            `json:"state,omitempty"`    // answer to Hello, with the listening sockets
 	Serving          bool              `json:"serving,omitempty"`  // the newer process accepts clients
 	Stopping         bool              `json:"leaving,omitempty"`  // the sender is shutting down
 	TakingOver       bool              `json:"relieves,omitempty"` // the sender accepts the clients; the receiver may exit
 	EjectionsChanged bool              `json:"bans,omitempty"`     // the sender has changed the ejection file
-	Drain            *bool             `json:"drain,omitempty"`    // an operator has drained the relay (true) or resumed it (false)
+	Drain            *bool             `json:"drain,omitempty"`    // operator drained (true) or resumed (false) the relay
 	OpenRequests     *OpenRequests     `json:"open,omitempty"`     // requests that are open in the older process
-	Flow             *line.FlowHandoff `json:"flow,omitempty"`     // an open flow, with the sockets of the client and the member
-	Client           *line.IdleConn    `json:"client,omitempty"`   // a client connection without a request, with its socket
+	Flow             *line.FlowHandoff `json:"flow,omitempty"`     // an open flow, with its client's and member's sockets
+	Client           *line.IdleConn    `json:"client,omitempty"`   // a client connection without a request and its socket
 }
 
 // OpenRequests lists the requests that are open at the line front of the older process, and sets
@@ -49,7 +49,7 @@
 // State is the state with which the newer process starts.
 type State struct {
 	Version       int                `json:"version"` // of the protocol: the lower version of the two processes
-	Fronts        []string           `json:"fronts"`  // fronts whose listening sockets are attached, in the order of the descriptors
+	Fronts        []string           `json:"fronts"`  // fronts of the attached listening sockets, in the same order
 	Limit         int                `json:"limit"`   // descriptors that the older process uses at most from now on
 	Pool          *pool.EndpointList `json:"pool"`
 	DiscoveryAddr string             `json:"watched"` // discovery whose watch can continue from Pool; empty if none can
