--- a/internal/auth/authenticator.go
+++ b/internal/auth/authenticator.go
@@ -13,11 +13,13 @@
 
 // Authenticator decides which clients may log in. It is made from a Config by NewAuthenticator.
 type Authenticator struct {
-	usersByName   map[string]*User
-	usersByKey    map[string]*User
-	tokenUsers    []*User
-	accounts      map[string]*jwt.AccountClaims // by the public keys that sign for the account; nil if only its public key is configured
-	requiresNonce bool                          // some users log in by signing a nonce
+	usersByName map[string]*User
+	usersByKey  map[string]*User
+	tokenUsers  []*User
+	// accounts has an entry for each public key that signs for an account; the value is nil if only the
+	// account's public key is configured.
+	accounts      map[string]*jwt.AccountClaims
+	requiresNonce bool // some users log in by signing a nonce
 }
 
 // Credentials are the credentials in a client's CONNECT.
@@ -58,9 +60,7 @@
 	ErrRevoked = errors.New("the account has revoked the JWT of the user")
 )
 
-// RequiresNonce reports whether some users log in by signing a nonce, which the INFO must then have.
-
-// RequiresNonce reports whether clients need a nonce to sign.
+// RequiresNonce reports whether some users log in by signing a nonce, which INFO must then contain.
 func (a *Authenticator) RequiresNonce() bool { return a.requiresNonce }
 
 // UsesBcrypt reports whether Authenticate may check a bcrypt hash for these credentials, which takes
--- a/internal/netloop/conn_end.go
+++ b/internal/netloop/conn_end.go
@@ -4,8 +4,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Finish closes the connection in order: unsent bytes are sent, then the peer sees EOF. If a dial is
-// still in progress, it is abandoned. The handler receives no more events.
+// Finish closes the connection gracefully: unsent bytes are sent, then the peer sees EOF. If a dial
+// is still in progress, it is abandoned. The handler receives no more events.
 func (c *Conn) Finish() {
 	if c.fd < 0 || c.dialTimer != nil || c.failTimer != nil {
 		c.release()
--- a/internal/netloop/conn_read.go
+++ b/internal/netloop/conn_read.go
@@ -7,13 +7,13 @@
 )
 
 // PauseReading stops reading until ResumeReading. A handler calls it when it leaves bytes because
-// it cannot use them yet. Otherwise bytes that Data has not consumed are taken for an incomplete
-// message, and more is read and buffered up to the read limit.
+// it cannot use them yet. Otherwise bytes that Data has not consumed are treated as an
+// incomplete message, and more is read and buffered up to the read limit.
 func (c *Conn) PauseReading() { c.readPaused = true }
 
 // SetEarlyEOF sets whether the peer's EOF is reported as soon as it arrives, even while earlier
 // bytes are unread. By default it is reported after them. It is meant for a handler that leaves
-// bytes in the kernel and has no use for them once their sender has gone.
+// bytes in the kernel and has no use for them once the peer has closed its side.
 func (c *Conn) SetEarlyEOF(on bool) {
 	c.earlyEOF = on
 	c.updateInterest()
--- a/internal/netloop/loop.go
+++ b/internal/netloop/loop.go
@@ -85,8 +85,8 @@
 // need the time often and only roughly.
 func (l *Loop) RoundStart() time.Duration { return l.roundStart }
 
-// LastRoundDuration is how long the last round took, without its wait for events. Times that the loop
-// measures may be too late by as much, because of the loop's own work.
+// LastRoundDuration is how long the last round took, without its wait for events. The loop may notice
+// an event late by up to this duration, because it was busy with its own work.
 func (l *Loop) LastRoundDuration() time.Duration { return l.lastRound }
 
 // utilizationWindow is the time constant of the moving average that Utilization returns.
--- a/internal/pool/timing.go
+++ b/internal/pool/timing.go
@@ -59,9 +59,9 @@
 
 // pushTiming applies to polls of a local agent to which discovery pushes lists. A change counts as
 // delivered as soon as the agent has it, also when the agent returns after an outage. From then on the
-// grace applies, the time for sends that were already in progress. In the worst order, the last step
-// before the agent's return was lost, so one step and one backoff together must be shorter than the
-// grace.
+// grace applies, the time for sends that were already in progress. In the worst case, the dial or poll
+// that was in progress when the agent returned is lost: it takes one step to time out, and one backoff
+// passes before the next poll. The two together must therefore be shorter than the grace.
 func pushTiming(grace time.Duration) timing {
 	step := grace / 4
 	return timing{dial: step, answer: step, answerAfterRejection: step, abandon: step, initialBackoff: step, maxBackoff: step}
@@ -83,9 +83,9 @@
 // other half of that deadline is left for the queue that many starting relays cause.
 const maxInitialDelay = deliveryDeadline / 2
 
-// InitialDelay returns the random delay after which a watch is started if it was not started before.
-// Random returns a value in [0, 1].
-// Deadline is the time within which the relay must poll anyway.
+// InitialDelay returns the random delay after which a process starts its watch, unless it has started
+// it earlier. The parameter deadline is the time within which the relay must poll anyway; random
+// returns a value in [0, 1].
 func InitialDelay(deadline time.Duration, random func() float64) time.Duration {
 	return time.Duration(random() * float64(min(maxInitialDelay, deadline/2)))
 }
