--- a/internal/front/line/attempt_test.go
+++ b/internal/front/line/attempt_test.go
@@ -197,7 +197,7 @@
 }
 
 // TestAnswersAfterUp checks that lines after UP, even a second UP, are forwarded unchanged as data of
-// the flow and not taken for another answer.
+// the flow and not treated as another answer.
 func TestAnswersAfterUp(t *testing.T) {
 	for _, after := range []string{"UP x\r\n", "BUSY\r\n", "ERR\r\n"} {
 		for _, together := range []bool{true, false} {
@@ -214,7 +214,8 @@
 			}
 			c.Expect("UP x\r\n" + after)
 			if n := g.Core.Counts; n.Served != 1 || n.Attempts != 1 || g.Core.ActiveRequests() != 1 {
-				t.Errorf("counts = %+v with %d active requests, want Served 1, Attempts 1 and 1 active", n, g.Core.ActiveRequests())
+				t.Errorf("counts = %+v with %d active requests, want Served 1, Attempts 1 and 1 active",
+					n, g.Core.ActiveRequests())
 			}
 		}
 	}
@@ -241,6 +242,7 @@
 		t.Errorf("client got %q, want BUSY", got)
 	}
 	if len(results) == 0 || results[0] != policy.NotSent || memberFaults != 0 {
-		t.Errorf("results = %v, want first %v; %d results reported about the member, want 0", results, policy.NotSent, memberFaults)
+		t.Errorf("results = %v, want first %v; %d results reported about the member, want 0",
+			results, policy.NotSent, memberFaults)
 	}
 }
--- a/internal/front/line/client_leave_test.go
+++ b/internal/front/line/client_leave_test.go
@@ -189,7 +189,8 @@
 		g.enableHealthChecks()
 		c := g.sendRequest(firstLine)
 		if len(g.front.healthChecks) == 0 || g.Core.Counts.Attempts > 0 {
-			t.Fatalf("%d health checks, counts = %+v; want a health check and Attempts 0", len(g.front.healthChecks), g.Core.Counts)
+			t.Fatalf("%d health checks, counts = %+v; want a health check and Attempts 0",
+				len(g.front.healthChecks), g.Core.Counts)
 		}
 		closeConn(c)
 		g.WaitFor("the relay to notice the client's close", func() bool { return len(g.front.requests) == 0 })
--- a/internal/front/line/crossing_test.go
+++ b/internal/front/line/crossing_test.go
@@ -14,7 +14,7 @@
 	"dahliarudder/policy"
 )
 
-// eventOrderCase is one case of TestCrossings: one client, two members, and a random order of events.
+// eventOrderCase is one case of TestCrossings: one client, two members, and a random sequence of events.
 type eventOrderCase struct {
 	*rig
 	rng            *rand.Rand
@@ -191,7 +191,7 @@
 	}
 }
 
-// TestCrossings plays random orders of events at clients, members, discovery and the relay itself. In
+// TestCrossings runs random sequences of events at clients, members, discovery and the relay itself. In
 // each of them at most one attempt is in flight, none is sent after the client has closed, the client
 // receives one complete answer, from the relay or from a member, and nothing is left at the end. The
 // environment variable LINE_SEEDS sets the number of cases.
--- a/internal/front/line/early_data_test.go
+++ b/internal/front/line/early_data_test.go
@@ -35,7 +35,8 @@
 	c.ExpectLines("UP x")
 	g.WaitFor("the member to receive the early lines", func() bool { m.Poll(); return len(m.Received) >= len(early) })
 	if !bytes.Equal(m.Received, early) {
-		t.Errorf("member received %d bytes, want exactly the %d bytes that the client sent early", len(m.Received), len(early))
+		t.Errorf("member received %d bytes, want exactly the %d bytes that the client sent early",
+			len(m.Received), len(early))
 	}
 }
 
@@ -57,6 +58,7 @@
 	c.ExpectLines("UP x")
 	g.WaitFor("the member to receive the early lines", func() bool { m.Poll(); return len(m.Received) >= len(early) })
 	if !bytes.Equal(m.Received, early) {
-		t.Errorf("member received %d bytes, want exactly the %d bytes that the client sent early", len(m.Received), len(early))
+		t.Errorf("member received %d bytes, want exactly the %d bytes that the client sent early",
+			len(m.Received), len(early))
 	}
 }
--- a/internal/front/line/first_line_test.go
+++ b/internal/front/line/first_line_test.go
@@ -28,7 +28,7 @@
 }
 
 // TestFirstLineTooSlow checks that a first line that takes longer than firstLineTimeout is answered
-// ERR once, and that the rest of it is not taken for a request.
+// ERR once, and that the rest of it is not treated as a request.
 func TestFirstLineTooSlow(t *testing.T) {
 	g := newRig(t, 1)
 	c := g.Dial(g.addr)
@@ -60,7 +60,8 @@
 		c.ExpectLines("PONG", "PONG")
 		m := g.acceptAttempt(0)
 		if g.RunOnce(); len(m.Received) > 0 || g.Core.Counts.Requests != 1 {
-			t.Errorf("before UP the member received %q after the first line, want nothing; counts = %+v, want Requests 1", m.Received, g.Core.Counts)
+			t.Errorf("before UP the member received %q after the first line, want nothing; counts = %+v, want Requests 1",
+				m.Received, g.Core.Counts)
 		}
 		m.Send("UP x\r\n")
 		c.ExpectLines("UP x")
@@ -138,7 +139,8 @@
 			good.Send("hello\r\n")
 			m.ExpectLines("hello")
 			if g.Core.Counts != before || g.FreeDescriptors() != free || g.pendingConn(0) != nil {
-				t.Errorf("counts = %+v, want %+v; %d more descriptors open, want 0; and no new connection to the member", g.Core.Counts, before, free-g.FreeDescriptors())
+				t.Errorf("counts = %+v, want %+v; %d more descriptors open, want 0; and no new connection to the member",
+					g.Core.Counts, before, free-g.FreeDescriptors())
 			}
 		})
 	}
--- a/internal/front/line/flow_fuzz_test.go
+++ b/internal/front/line/flow_fuzz_test.go
@@ -8,7 +8,7 @@
 	"dahliarudder/internal/netloop/looptest"
 )
 
-// FuzzFlow plays random steps on an open flow and checks them against a model: each side receives a
+// FuzzFlow takes random steps on an open flow and checks them against a model: each side receives a
 // prefix of what the other sent, and all of it unless the flow ends; MOVE is sent at most once, only
 // between two lines, and always if the member drains between two lines. Handing the flow off to
 // another process changes none of this.
@@ -84,10 +84,12 @@
 		}
 		before, moved := bytes.CutSuffix(c.Received, []byte("MOVE\r\n"))
 		if !bytes.HasPrefix(byMember, before) || !bytes.HasPrefix(byClient, m.Received) {
-			t.Errorf("client got %q of the member's %q, member got %q of the client's %q", c.Received, byMember, m.Received, byClient)
+			t.Errorf("client got %q of the member's %q, member got %q of the client's %q",
+				c.Received, byMember, m.Received, byClient)
 		}
 		if moved != (drained && between) || moved && len(before) > 0 && !bytes.HasSuffix(before, []byte("\n")) {
-			t.Errorf("MOVE sent: %v, want %v (drained between lines) and only after a complete line; client got %q before it", moved, drained && between, before)
+			t.Errorf("MOVE sent: %v, want %v (drained between lines) and only after a complete line; client got %q before it",
+				moved, drained && between, before)
 		}
 		r.WaitFor("the flow to end", func() bool { return r.Core.ActiveRequests() == 0 || !(drained || ended) })
 	})
--- a/internal/front/line/flow_test.go
+++ b/internal/front/line/flow_test.go
@@ -179,7 +179,8 @@
 			t.Errorf("%d bytes wait to be sent to the client, want at most %d", unsent, netloop.DefaultWriteLimit)
 		}
 		if conn.upstream.blockedBytes > netloop.DefaultReadLimit {
-			t.Errorf("%d bytes from the member wait to be forwarded, want at most %d", conn.upstream.blockedBytes, netloop.DefaultReadLimit)
+			t.Errorf("%d bytes from the member wait to be forwarded, want at most %d",
+				conn.upstream.blockedBytes, netloop.DefaultReadLimit)
 		}
 		start := g.Now()
 		for at := start; g.Core.ActiveRequests() > 0; at += clientInterval {
--- a/internal/front/line/handoff_test.go
+++ b/internal/front/line/handoff_test.go
@@ -10,8 +10,8 @@
 )
 
 // TestHandOffIdleAfterPong checks that a connection that was answered PONG keeps idleTimeout in the
-// process that adopts it. With firstLineTimeout there, an idle client would be sent ERR and take it
-// for the answer to its next line.
+// process that adopts it. With firstLineTimeout there, an idle client would be sent ERR and
+// mistake it for the answer to its next line.
 func TestHandOffIdleAfterPong(t *testing.T) {
 	r := looptest.NewRelay(t, 1)
 	f, next := New(r.Loop, r.Core, r.Log), New(r.Loop, r.Core, r.Log)
--- a/internal/front/line/health_check_test.go
+++ b/internal/front/line/health_check_test.go
@@ -108,7 +108,7 @@
 }
 
 // TestHealthCheckLateAnswer checks that a second answer that arrives between two health checks is not
-// taken for the answer to the next one, and that its connection is closed.
+// mistaken for the answer to the next one, and that its connection is closed.
 func TestHealthCheckLateAnswer(t *testing.T) {
 	p := newCheckRig(t, 1)
 	m := p.acceptCheck(0)
@@ -159,7 +159,7 @@
 }
 
 // TestHealthCheckSecondAnswer checks that a second answer that arrives together with the first is not
-// taken for the answer to the next health check.
+// mistaken for the answer to the next health check.
 func TestHealthCheckSecondAnswer(t *testing.T) {
 	p := newCheckRig(t, 1)
 	m := p.acceptCheck(0)
--- a/internal/front/line/line_test.go
+++ b/internal/front/line/line_test.go
@@ -88,7 +88,8 @@
 	c.ExpectLines("BUSY")
 	c.ExpectEOF()
 	if r.Core.ActiveRequests() != 0 || r.Core.Counts.ClientsGone != 1 {
-		t.Errorf("after the client's close: %d active requests, want 0; counts %+v, want ClientsGone 1", r.Core.ActiveRequests(), r.Core.Counts)
+		t.Errorf("after the client's close: %d active requests, want 0; counts %+v, want ClientsGone 1",
+			r.Core.ActiveRequests(), r.Core.Counts)
 	}
 }
 
@@ -233,7 +234,7 @@
 		t.Errorf("cutLine of a line at the limit used %d bytes, error %v; want %d", n, err, maxLineBytes)
 	}
 	if _, _, err := cutLine([]byte(long + "x\r\n")); err == nil {
-		t.Error("cutLine accepted a line over the limit")
+		t.Error("cutLine accepted a line over the limit, want an error")
 	}
 	if _, n, err := cutLine([]byte(long)); n != 0 || err != nil {
 		t.Errorf("cutLine of an incomplete line used %d bytes, error %v; want 0 and no error", n, err)
@@ -257,7 +258,8 @@
 		next.AdoptIdle(p, fd)
 	})
 	if handedOff != 2 || len(f.idle) != 0 || len(next.idle) != 2 {
-		t.Fatalf("handed off %d idle connections, %d left, %d adopted; want 2, 0, 2", handedOff, len(f.idle), len(next.idle))
+		t.Fatalf("handed off %d idle connections, %d left, %d adopted; want 2, 0, 2",
+			handedOff, len(f.idle), len(next.idle))
 	}
 	next.SetRemoteIDs([]uint64{0xaa})
 	half.Send(firstLine[20:] + "\r\n")
--- a/internal/front/line/liveness_test.go
+++ b/internal/front/line/liveness_test.go
@@ -79,7 +79,8 @@
 				t.Fatalf("seed %d: the flow ended while the member was answering", seed)
 			}
 			if late := r.Now() - lastAnswer; late > maxSilence-step {
-				t.Fatalf("seed %d: the flow is still open %v after the last answer, want at most %v", seed, late, maxSilence-step)
+				t.Fatalf("seed %d: the flow is still open %v after the last answer, want at most %v",
+					seed, late, maxSilence-step)
 			}
 			if late := r.Now() - finalCommandAt; finalCommandAt > 0 && late > maxLinger {
 				t.Fatalf("seed %d: the flow is still open %v after BYE, want at most %v", seed, late, maxLinger)
--- a/internal/front/line/shutdown_test.go
+++ b/internal/front/line/shutdown_test.go
@@ -48,7 +48,8 @@
 	r.Core.Stop()
 	r.Core.FinishStop()
 	if r.Core.ActiveRequests() != 0 || f.OpenRequests() != 1 {
-		t.Fatalf("core has %d active requests, front has %d open; want 0 and 1", r.Core.ActiveRequests(), f.OpenRequests())
+		t.Fatalf("core has %d active requests, front has %d open; want 0 and 1",
+			r.Core.ActiveRequests(), f.OpenRequests())
 	}
 	m.Send("line\r\n")
 	c.ExpectLines("half a line", "MOVE")
@@ -92,6 +93,7 @@
 	r.WaitFor("the core to count the client as gone", func() bool { return r.Core.Counts.ClientsGone == 1 })
 	r.WaitFor("the attempt's connection to end", func() bool { m.Poll(); return m.EndErr != nil })
 	if f.OpenRequests() != 0 || r.Core.ActiveRequests() != 0 {
-		t.Errorf("front has %d open requests, core has %d active; want 0 and 0", f.OpenRequests(), r.Core.ActiveRequests())
+		t.Errorf("front has %d open requests, core has %d active; want 0 and 0",
+			f.OpenRequests(), r.Core.ActiveRequests())
 	}
 }
--- a/internal/front/line/state_test.go
+++ b/internal/front/line/state_test.go
@@ -30,10 +30,12 @@
 		for e := eventPing; e <= eventMemberReset; e++ {
 			next, action := s.next(e)
 			if s == clientClosed && (next != s || action != doNothing) {
-				t.Errorf("event %d on a closed connection: next state %d, action %d; want no change and no action", e, next, action)
+				t.Errorf("event %d on a closed connection: next state %d, action %d; want no change and no action",
+					e, next, action)
 			}
 			if ends[action] != (next == clientClosed && s != clientClosed) {
-				t.Errorf("event %d in state %d: next state %d with action %d; want the closed state with an ending action only", e, s, next, action)
+				t.Errorf("event %d in state %d: next state %d with action %d; want the closed state with an ending action only",
+					e, s, next, action)
 			}
 			if allowed := allowedIn[action]; allowed != nil && !allowed(s) {
 				t.Errorf("event %d in state %d: action %d is not allowed in this state", e, s, action)
@@ -68,7 +70,8 @@
 		for e := eventConnected; e <= eventAbandoned; e++ {
 			next, _, ended := s.next(e)
 			if ended != (next == attemptFinished && s != attemptFinished) {
-				t.Errorf("event %d in state %d: next state %d, ended = %v; want ended with the change to finished only", e, s, next, ended)
+				t.Errorf("event %d in state %d: next state %d, ended = %v; want ended with the change to finished only",
+					e, s, next, ended)
 			}
 			if s.isOpen() && !next.isOpen() && next != attemptFinished {
 				t.Errorf("event %d on an open flow: next state %d, want open or finished", e, next)
@@ -78,10 +81,11 @@
 	for command, want := range map[string]policy.Result{"": policy.Reset, "BYE": policy.OK, "MOVE": policy.Cancelled} {
 		s := openStateAfter(command)
 		if s.finalCommand() != command {
-			t.Errorf("openStateAfter(%q).finalCommand() = %q", command, s.finalCommand())
+			t.Errorf("openStateAfter(%q).finalCommand() = %q, want the same command", command, s.finalCommand())
 		}
 		if _, result, ended := s.next(eventConnLost); !ended || result != want {
-			t.Errorf("connection lost after final command %q: result %v, ended = %v; want %v, true", command, result, ended, want)
+			t.Errorf("connection lost after final command %q: result %v, ended = %v; want %v, true",
+				command, result, ended, want)
 		}
 	}
 }
@@ -93,11 +97,13 @@
 		for e := eventCheckDue; e <= eventCheckIdleTimeout; e++ {
 			next := s.next(e)
 			if !s.isPending() && next.isPending() != (e == eventCheckDue || e == eventCheckDueReusable && s == checkConnIdle) {
-				t.Errorf("event %d in idle state %d: next state %d, want a pending state only if a check is due", e, s, next)
+				t.Errorf("event %d in idle state %d: next state %d, want a pending state only if a check is due",
+					e, s, next)
 			}
 			if s.isPending() && !next.isPending() != (e == eventCheckAnswered || e == eventCheckFailed || e == eventCheckConnLost || e == eventCheckIdleTimeout ||
 				e == eventCheckConnLostRetryable && s != checkPendingReused) {
-				t.Errorf("event %d in pending state %d: next state %d, want a state that is not pending only if the event ends the check", e, s, next)
+				t.Errorf("event %d in pending state %d: next state %d, want a state that is not pending only if the event ends the check",
+					e, s, next)
 			}
 		}
 	}
--- a/internal/netloop/channel_test.go
+++ b/internal/netloop/channel_test.go
@@ -87,7 +87,8 @@
 	}
 	for n, text := range far.messages {
 		if !bytes.Equal(text, bytes.Repeat([]byte(fmt.Sprintf("%03d", n)), 1000)) {
-			t.Fatalf("message %d = %.20q with %d bytes, want %q with 3000 bytes", n, text, len(text), fmt.Sprintf("%03d...", n))
+			t.Fatalf("message %d = %.20q with %d bytes, want %q with 3000 bytes",
+				n, text, len(text), fmt.Sprintf("%03d...", n))
 		}
 	}
 	w.Close()
@@ -99,7 +100,8 @@
 		unix.Close(fd)
 	}
 	if text, err := io.ReadAll(r); err != nil || string(text) != "by the passed end" {
-		t.Errorf("pipe read = %q, %v, want %q and EOF: a write end is still open or was not passed", text, err, "by the passed end")
+		t.Errorf("pipe read = %q, %v, want %q and EOF: a write end is still open or was not passed",
+			text, err, "by the passed end")
 	}
 	if near.channel.Send(make([]byte, 1<<20)) == nil {
 		t.Error("Send of a 1 MiB message succeeded, want an error: it is over the limit")
@@ -107,7 +109,8 @@
 	near.channel.Close()
 	b.WaitFor("the end of the channel at the far end", func() bool { return far.endErr != nil })
 	if far.channel.Send([]byte("more")) == nil || near.endErr != nil {
-		t.Errorf("after Close of the near end: Send at the far end succeeded, or the near end's onEnd was called (%v)", near.endErr)
+		t.Errorf("after Close of the near end: Send at the far end succeeded, or the near end's onEnd was called (%v)",
+			near.endErr)
 	}
 }
 
@@ -121,7 +124,8 @@
 	b.WaitFor("the first bytes", func() bool { return e.lastOffered == len("hello, ") })
 	fd, unread := e.conn.Detach()
 	if b.RunOnce(); fd < 0 || string(unread) != "hello, " || b.OpenDescriptors() != 0 {
-		t.Fatalf("Detach = descriptor %d, unread %q, with %d descriptors still open; want a descriptor, %q, 0", fd, unread, b.OpenDescriptors(), "hello, ")
+		t.Fatalf("Detach = descriptor %d, unread %q, with %d descriptors still open; want a descriptor, %q, 0",
+			fd, unread, b.OpenDescriptors(), "hello, ")
 	}
 	p.Send("world")
 	attached := &recordingHandler{consumable: 1 << 10}
--- a/internal/netloop/conn_test.go
+++ b/internal/netloop/conn_test.go
@@ -100,7 +100,8 @@
 				loopClosed, reset = true, true
 			}
 			if !bytes.HasPrefix(sentByPeer, e.received) {
-				t.Fatalf("step %d: handler received %d bytes that are not a prefix of the %d sent", i, len(e.received), len(sentByPeer))
+				t.Fatalf("step %d: handler received %d bytes that are not a prefix of the %d sent",
+					i, len(e.received), len(sentByPeer))
 			}
 			if len(e.endErrs) > 1 {
 				t.Fatalf("step %d: End called %d times, want at most 1", i, len(e.endErrs))
@@ -117,7 +118,8 @@
 			if !peerClosed {
 				b.WaitFor("all bytes written by the loop", func() bool { p.Poll(); return p.EndErr != nil })
 				if p.EndErr != io.EOF || !bytes.Equal(p.Received, writtenByLoop) {
-					t.Fatalf("peer received %d of %d bytes, then %v, want all bytes and EOF", len(p.Received), len(writtenByLoop), p.EndErr)
+					t.Fatalf("peer received %d of %d bytes, then %v, want all bytes and EOF",
+						len(p.Received), len(writtenByLoop), p.EndErr)
 				}
 			}
 		}
@@ -157,7 +159,8 @@
 			}
 			b.WaitFor("End after a failed dial", func() bool { return len(e.endErrs) > 0 })
 			if !tt.want(e.endErrs[0]) || e.opened || b.FreeDescriptors() != tt.limit {
-				t.Errorf("dial to %q: End errors %v, Open called %v, %d free descriptors, want %d", tt.addr, e.endErrs, e.opened, b.FreeDescriptors(), tt.limit)
+				t.Errorf("dial to %q: End errors %v, Open called %v, %d free descriptors, want %d",
+					tt.addr, e.endErrs, e.opened, b.FreeDescriptors(), tt.limit)
 			}
 		})
 	}
--- a/internal/netloop/ending_test.go
+++ b/internal/netloop/ending_test.go
@@ -98,7 +98,7 @@
 	}
 }
 
-// closeWait is TCP_CLOSE_WAIT: the other side has closed its sending side in order.
+// closeWait is TCP_CLOSE_WAIT: the other side has closed its sending side gracefully.
 const closeWait = 8
 
 // tcpState returns the kernel's state of the peer's TCP connection.
--- a/internal/netloop/faults_test.go
+++ b/internal/netloop/faults_test.go
@@ -51,7 +51,8 @@
 				p.CloseWrite()
 				advanceUntil(b, "End at the handler", func() bool { return len(e.endErrs) > 0 })
 				if !bytes.Equal(e.received, text) {
-					t.Errorf("handler received %d bytes, then End with %v, want the %d bytes sent", len(e.received), e.endErrs, len(text))
+					t.Errorf("handler received %d bytes, then End with %v, want the %d bytes sent",
+						len(e.received), e.endErrs, len(text))
 				}
 			})
 		}
@@ -74,7 +75,8 @@
 				advanceUntil(b, "End at the handler", func() bool { return len(e.endErrs) > 0 })
 				b.Advance(recoveryTimeout)
 				if b.RunOnce(); len(e.endErrs) != 1 || e.endErrs[0] != errno || b.FreeDescriptors() != free {
-					t.Errorf("End called with %v, want one call with %v; %d descriptors still open, want 0", e.endErrs, errno, free-b.FreeDescriptors())
+					t.Errorf("End called with %v, want one call with %v; %d descriptors still open, want 0",
+						e.endErrs, errno, free-b.FreeDescriptors())
 				}
 			})
 		}
--- a/internal/netloop/post_test.go
+++ b/internal/netloop/post_test.go
@@ -27,7 +27,8 @@
 	for _, p := range pairs {
 		for _, fd := range p {
 			if n, err := unix.Read(fd, make([]byte, 16)); err != unix.EAGAIN {
-				t.Errorf("read from a new socket = %d bytes, %v, want EAGAIN: Post wrote to the closed wake-up descriptor", n, err)
+				t.Errorf("read from a new socket = %d bytes, %v, want EAGAIN: Post wrote to the closed wake-up descriptor",
+					n, err)
 			}
 			defer unix.Close(fd)
 		}
--- a/internal/netloop/syscalls_test.go
+++ b/internal/netloop/syscalls_test.go
@@ -201,10 +201,11 @@
 				b.Loop.Dial(s.Addr(), recoveryTimeout, e)
 				advanceUntil(b, "the dial to fail", func() bool { return len(e.endErrs) > 0 })
 				if err := e.endErrs[0]; errors.Is(err, netloop.ErrNoDescriptors) != c.localShortage || !errors.Is(err, errno) {
-					t.Errorf("dial failed with %v, want it to wrap %v, and ErrNoDescriptors: %v", err, errno, c.localShortage)
+					t.Errorf("dial failed with %v, want it to wrap %v, and ErrNoDescriptors: %v",
+						err, errno, c.localShortage)
 				}
 				if b.RunOnce(); b.FreeDescriptors() != free {
-					t.Errorf("%d descriptors still open after the dial", free-b.FreeDescriptors())
+					t.Errorf("%d descriptors still open after the dial, want 0", free-b.FreeDescriptors())
 				}
 			})
 		}
--- a/internal/netloop/tls_test.go
+++ b/internal/netloop/tls_test.go
@@ -118,7 +118,8 @@
 				}
 			})
 			if string(got) != fromLoop {
-				t.Errorf("peer received %d bytes, want the %d bytes written and EOF; it ends with %.60q", len(got), len(fromLoop), got[max(0, len(got)-60):])
+				t.Errorf("peer received %d bytes, want the %d bytes written and EOF; it ends with %.60q",
+					len(got), len(fromLoop), got[max(0, len(got)-60):])
 			}
 			remote.Close()
 		}
