--- a/internal/auth/authenticator_test.go
+++ b/internal/auth/authenticator_test.go
@@ -55,7 +55,8 @@
 		r.RecordRequest(time.Minute, fmt.Append(nil, i))
 	}
 	if len(r.pending) > maxPendingReplies || len(r.order) > maxPendingReplies || !r.AllowReply(time.Minute, fmt.Sprint(3*maxPendingReplies-1)) {
-		t.Errorf("%d requests tracked, %d in order; want at most %d, with the newest among them", len(r.pending), len(r.order), maxPendingReplies)
+		t.Errorf("%d pending requests and %d reply subjects tracked, want at most %d each, with the newest among them",
+			len(r.pending), len(r.order), maxPendingReplies)
 	}
 	if NewReplyTracker(&Permissions{}).AllowReply(0, "x") {
 		t.Error("AllowReply allowed a reply without a rule for responses")
--- a/internal/front/nats/nats_test.go
+++ b/internal/front/nats/nats_test.go
@@ -37,7 +37,8 @@
 						reparsed, n, err := parseCommand(m.appendMessage(nil, "1"), maxControlLine, 1024)
 						if err != nil || n == 0 || string(reparsed.payload) != string(m.payload) || reparsed.headerLen != m.headerLen ||
 							string(reparsed.subject) != string(m.subject) || string(reparsed.reply) != string(m.reply) {
-							t.Fatalf("%+v encoded and parsed again = %+v, error %v", m, reparsed, err)
+							t.Fatalf("%+v encoded and parsed again = %+v, error %v; want the same message",
+								m, reparsed, err)
 						}
 					}
 					out += fmt.Sprintf("%d %q %q %q %q %q %q %d %d\n", m.op, m.args, m.subject, m.sid, m.reply, m.queue, m.payload, m.maxMessages, m.headerLen)
@@ -49,7 +50,8 @@
 		whole, wholeErr := parseAll(len(text) + 1)
 		chunked, chunkedErr := parseAll(int(step)%7 + 1)
 		if whole != chunked || (wholeErr == nil) != (chunkedErr == nil) {
-			t.Errorf("parsed whole: %s%v\nparsed in chunks: %s%v", whole, wholeErr, chunked, chunkedErr)
+			t.Errorf("parsed whole: %s%v\nparsed in chunks: %s%v\nwant the same result",
+				whole, wholeErr, chunked, chunkedErr)
 		}
 	})
 }
@@ -83,7 +85,7 @@
 	}
 }
 
-// testFront is a front with one connected client. The test plays the client and the members.
+// testFront is a front with one connected client. The test acts as the client and the members.
 type testFront struct {
 	*looptest.Relay
 	client *looptest.Peer
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -72,7 +72,8 @@
 		t.Fatal(err)
 	}
 	if fd, state, _, err := requestState(h, dir); fd >= 0 || state != nil || err != nil || requests != 3 {
-		t.Errorf("RequestState = fd %d, state %v, error %v after %d requests; want fd -1, no state, no error after 3", fd, state, err, requests)
+		t.Errorf("RequestState = fd %d, state %v, error %v after %d requests; want fd -1, no state, no error after 3",
+			fd, state, err, requests)
 	}
 }
 
@@ -81,7 +82,8 @@
 func TestRequestStateNoProcess(t *testing.T) {
 	dir := t.TempDir()
 	if fd, state, _, err := RequestState(dir); fd >= 0 || state != nil || err != nil {
-		t.Errorf("RequestState without a socket = fd %d, state %v, error %v; want fd -1, no state, no error", fd, state, err)
+		t.Errorf("RequestState without a socket = fd %d, state %v, error %v; want fd -1, no state, no error",
+			fd, state, err)
 	}
 	addr := &unix.SockaddrUnix{Name: filepath.Join(dir, filepath.Base(Path(dir)))}
 	fd, err := unix.Socket(unix.AF_UNIX, unix.SOCK_SEQPACKET, 0)
@@ -92,7 +94,8 @@
 		t.Fatal(err)
 	}
 	if fd, state, _, err := RequestState(dir); fd >= 0 || state != nil || err != nil {
-		t.Errorf("RequestState with the socket of a dead process = fd %d, state %v, error %v; want fd -1, no state, no error", fd, state, err)
+		t.Errorf("RequestState with the socket of a dead process = fd %d, state %v, error %v; want fd -1, no state, no error",
+			fd, state, err)
 	}
 	os.Remove(Path(dir))
 }
@@ -109,7 +112,8 @@
 	received := serveOlderProcess(h, dir, state)
 	fd, got, fds, err := requestState(h, dir)
 	if err != nil || got == nil || len(fds) != 1 || got.Limit != 77 || len(got.Pool.Instances) != 3000 || got.Pool.Instances[2999].ID != "s-2999" {
-		t.Fatalf("RequestState = state %v, %d descriptors, error %v; want the state that was sent, with 1 descriptor", got, len(fds), err)
+		t.Fatalf("RequestState = state %v, %d descriptors, error %v; want the state that was sent, with 1 descriptor",
+			got, len(fds), err)
 	}
 	closeAll(fds)
 	p, err := NewPeer(h.Loop, fd, func(*Message, []int) {}, func(error) {})
@@ -165,8 +169,8 @@
 	return p
 }
 
-// sendPipe transfers the write end of a pipe to the receiver. It returns the read end, on which
-// isClosed reports whether any process still has the write end open.
+// sendPipe transfers the write end of a pipe to the receiver. It returns the read end, for which
+// isClosed reports whether every process has closed the write end.
 func (p *peerPair) sendPipe(name string) (readEnd int) {
 	ends := make([]int, 2)
 	if err := unix.Pipe2(ends, unix.O_CLOEXEC|unix.O_NONBLOCK); err != nil {
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -42,7 +42,7 @@
 		p, done, err := read(len(text) + 1)
 		q, done2, err2 := read(int(step)%7 + 1)
 		if done != done2 || (err == nil) != (err2 == nil) || err == nil && (p.Status != q.Status || p.Method != q.Method || p.Target != q.Target || string(p.Body) != string(q.Body)) {
-			t.Errorf("Feed of all bytes at once: done %v, error %v, status %d, body %q; in steps: done %v, error %v, status %d, body %q",
+			t.Errorf("Feed of all bytes at once: done %v, error %v, status %d, body %q; in steps: done %v, error %v, status %d, body %q; want the same",
 				done, err, p.Status, p.Body, done2, err2, q.Status, q.Body)
 		}
 	})
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -94,7 +94,8 @@
 			r.finishEjection(nil)
 		}
 		if status := readStatus(p); status != tt.status || strings.Join(r.calls, ",") != tt.call {
-			t.Errorf("%s: status %s, calls %q; want status %s, calls %q", tt.request, status, r.calls, tt.status, tt.call)
+			t.Errorf("%s: status %s, calls %q; want status %s, calls %q",
+				tt.request, status, r.calls, tt.status, tt.call)
 		}
 		p.Received = nil
 		h.WaitFor("the connection to be closed", func() bool { p.Poll(); return p.EndErr != nil })
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -30,14 +30,16 @@
 	m := newMapper().Members(l)[0]
 	if m.ID != 0x5be2a07c || m.Zone != 1 || m.Kind != 1 || m.Cell != 3 || m.State != policy.Ready || m.Weight != 1.5 ||
 		m.Started != 500*time.Millisecond || m.Name != "s-5be2a07c" || m.Addr != "127.0.0.1:9" || l.Generation != 41 || !l.Full {
-		t.Errorf("Members of list %+v = %+v, want a full list of generation 41 with the values of %s", l, m, instanceJSON)
+		t.Errorf("Members of list %+v = %+v, want a full list of generation 41 with the values of %s",
+			l, m, instanceJSON)
 	}
 	unknownLifecycle, err := Decode([]byte(`{"instances":[{"instanceId":"one","lifecycle":"NAPPING"}]}`))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if m := newMapper().Members(unknownLifecycle)[0]; m.State != policy.Draining || m.Started != 0 || m.ID != DeriveMemberID("one") || m.ID == DeriveMemberID("two") {
-		t.Errorf("member of an instance with an unknown lifecycle = %+v, want state Draining, no start and a hashed ID", m)
+		t.Errorf("member of an instance with an unknown lifecycle = %+v, want state Draining, no start and a hashed ID",
+			m)
 	}
 	for _, bad := range []string{``, `[]`, `{"instances":[{}]}`, `{"generation":-1}`, `{"instances":[{"instanceId":"a","cell":"x"}]}`} {
 		if _, err := Decode([]byte(bad)); !errors.Is(err, ErrMalformed) {
@@ -73,7 +75,8 @@
 	p.Send("HTTP/1.1 200 OK\r\nContent-Length: 44\r\n\r\n" + `{"generation":3,"reset":true,"instances":[]}`)
 	p.Expect("GET /api/targets?since=3&timeout_ms=4000" + host)
 	if updates != 100*int(policy.ListFull) {
-		t.Errorf("sum of 100*kind + members over all updates = %d, want one full list without members (%d)", updates, 100*int(policy.ListFull))
+		t.Errorf("sum of 100*kind + members over all updates = %d, want one full list without members (%d)",
+			updates, 100*int(policy.ListFull))
 	}
 	w.SwitchAddress(next.Addr()) // the address is the same, so the watch continues
 	p.Send("HTTP/1.1 200 OK\r\nContent-Length: 45\r\n\r\n" + `{"generation":4,"reset":false,"instances":[]}`)
--- a/internal/pool/start_times_test.go
+++ b/internal/pool/start_times_test.go
@@ -75,7 +75,8 @@
 					s.ListReceived()
 				}
 				if again := s.Resolve("warm", warm); again != first {
-					t.Errorf("Resolve for a member that has been up for long = %v after the steps, want %v", again, first)
+					t.Errorf("Resolve for a member that has been up for long = %v after the steps, want %v",
+						again, first)
 				}
 			})
 		}
@@ -112,7 +113,8 @@
 			s := m.newStartTimes()
 			long := s.Resolve("long", listedStart(m.now-24*time.Hour, 0))
 			if m.now-long < warmUpTime {
-				t.Errorf("Resolve for a member that has been up for a day: up for %v, want at least %v", m.now-long, warmUpTime)
+				t.Errorf("Resolve for a member that has been up for a day: up for %v, want at least %v",
+					m.now-long, warmUpTime)
 			}
 			if at := s.Resolve("known", listedStart(m.now-time.Second, 0)); at > m.now {
 				t.Errorf("Resolve returned a start %v in the future", at-m.now)
@@ -120,13 +122,15 @@
 			s.ListReceived()
 			m.now += 3 * time.Second
 			if at := s.Resolve("joined", listedStart(m.now-time.Second, 0)); m.now-at > 3*time.Second+s.MaxListingDelay {
-				t.Errorf("Resolve for a member first listed 3s after the previous list: up for %v, want at most %v", m.now-at, 3*time.Second+s.MaxListingDelay)
+				t.Errorf("Resolve for a member first listed 3s after the previous list: up for %v, want at most %v",
+					m.now-at, 3*time.Second+s.MaxListingDelay)
 			}
 			s.ListReceived()
 			s.ObserveDiscoveryDate(bootTime.Add(m.now).Truncate(time.Second))
 			m.now += 3 * time.Second
 			if at := s.Resolve("later", listedStart(m.now-time.Second, 0)); clockLag.Abs() > time.Minute && (at > m.now || m.now-at > time.Second+startTolerance) {
-				t.Errorf("Resolve for a member up for 1s, with discovery's date known: up for %v, want 0s to %v", m.now-at, time.Second+startTolerance)
+				t.Errorf("Resolve for a member up for 1s, with discovery's date known: up for %v, want 0s to %v",
+					m.now-at, time.Second+startTolerance)
 			}
 		})
 	}
@@ -142,6 +146,7 @@
 		s.Resolve(m.now.String(), listedStart(m.now, 0))
 	}
 	if len(s.starts) > 2*maxStarts || len(s.offsets) > maxOffsets {
-		t.Errorf("%d starts and %d offsets are stored, want at most %d and %d", len(s.starts), len(s.offsets), 2*maxStarts, maxOffsets)
+		t.Errorf("%d starts and %d offsets are stored, want at most %d and %d",
+			len(s.starts), len(s.offsets), 2*maxStarts, maxOffsets)
 	}
 }
--- a/internal/pool/watcher_test.go
+++ b/internal/pool/watcher_test.go
@@ -32,7 +32,8 @@
 	return r
 }
 
-// pollRequest returns the request of a poll that continues from the given generation and wait time.
+// pollRequest returns the request of a poll that continues from the given generation and lets discovery
+// wait for the given time.
 func (r *rig) pollRequest(since int, wait time.Duration) string {
 	return fmt.Sprintf("GET /api/targets?since=%d&timeout_ms=%d HTTP/1.1\r\nHost: %s\r\nAccept: application/json\r\n\r\n", since, wait.Milliseconds(), r.server.Addr())
 }
@@ -79,7 +80,8 @@
 	r.Stop()
 	r.Start()
 	p.ExpectEOF()
-	if r.Advance(time.Hour); r.OpenDescriptors() > 2 { // the loop's wakeup descriptor is not counted; the connection may linger
+	// The loop's wakeup descriptor is not counted; the connection may linger.
+	if r.Advance(time.Hour); r.OpenDescriptors() > 2 {
 		t.Errorf("%d descriptors are open after Stop, want at most 2", r.OpenDescriptors())
 	}
 	r.expectUpdates(drainingUpdate, fmt.Sprint(policy.ListFull, ""))
@@ -130,8 +132,9 @@
 }
 
 // TestSilentWatch checks that a silent watch is detected, and that the missed change arrives within the
-// deadline although the watch stays silent. Without a second poll, a poll would be abandoned after
-// 5.8 s and the next one be up to the decision module, up to half a second later.
+// deadline although the watch stays silent. Guards against a watch without a second poll: it abandons
+// the silent poll after 5.8 s and leaves the next one to the decision module, which may request it
+// half a second later, after the deadline of 6 s.
 func TestSilentWatch(t *testing.T) {
 	r := newRig(t)
 	r.Start()
@@ -226,12 +229,14 @@
 		failures++
 		r.WaitFor("the failure to be counted", func() bool { return r.failures == failures })
 		if r.state != watchBackingOff || len(r.polls) != 0 {
-			t.Fatalf("after failure %d: state %d with %d polls in flight, want state %d with none", i, r.state, len(r.polls), watchBackingOff)
+			t.Fatalf("after failure %d: state %d with %d polls in flight, want state %d with none",
+				i, r.state, len(r.polls), watchBackingOff)
 		}
 		r.Start() // the decision module may start the watch again, which must change nothing
 		r.Advance(pollTiming.backoff(failures, 1) - time.Millisecond)
 		if len(r.polls) != 0 {
-			t.Fatalf("after failure %d: a poll was sent before the backoff of %v had passed", i, pollTiming.backoff(failures, 1))
+			t.Fatalf("after failure %d: a poll was sent before the backoff of %v had passed",
+				i, pollTiming.backoff(failures, 1))
 		}
 		r.Advance(time.Millisecond)
 	}
@@ -298,9 +303,9 @@
 	queued := r.server.Accept()
 	queued.Expect(r.pollRequest(41, 0))
 	r.Advance(maxQueueTime)
-	refused := r.server.Accept()
-	refused.Expect(r.pollRequest(41, 0))
-	refused.Send("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")
+	rejected := r.server.Accept()
+	rejected.Expect(r.pollRequest(41, 0))
+	rejected.Send("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")
 	r.WaitFor("the backoff after the rejected poll", func() bool { return r.state == watchBackingOff })
 	r.Advance(time.Second)
 	queued.Send(drainingDelta(43))
@@ -345,7 +350,8 @@
 	const retryDelay = dialTimeout + initialBackoff
 	// The connection of the third poll takes as long as it may.
 	const connectedAt = overdueAt + retryDelay + dialTimeout
-	if left := deliveryDeadline - connectedAt; left < 200*time.Millisecond { // the gap that the protocol allows between polls
+	// 200 ms is the gap that the protocol allows between polls.
+	if left := deliveryDeadline - connectedAt; left < 200*time.Millisecond {
 		t.Errorf("after a silent watch, %v are left for the answer, want at least 200ms", left)
 	}
 	if longPollWait+deliveryAfterWait > deliveryDeadline {
@@ -368,13 +374,14 @@
 // that is shorter. Processes that start together must be spread.
 func TestInitialDelay(t *testing.T) {
 	const longestQueue = 3 * time.Second
-	for askWithin, most := range map[time.Duration]time.Duration{10 * time.Second: maxInitialDelay, 2 * time.Second: time.Second} {
-		if low, high := InitialDelay(askWithin, func() float64 { return 0 }), InitialDelay(askWithin, func() float64 { return 1 }); low != 0 || high != most {
-			t.Errorf("InitialDelay(%v) ranges from %v to %v, want 0s to %v", askWithin, low, high, most)
+	for deadline, most := range map[time.Duration]time.Duration{10 * time.Second: maxInitialDelay, 2 * time.Second: time.Second} {
+		if low, high := InitialDelay(deadline, func() float64 { return 0 }), InitialDelay(deadline, func() float64 { return 1 }); low != 0 || high != most {
+			t.Errorf("InitialDelay(%v) ranges from %v to %v, want 0s to %v", deadline, low, high, most)
 		}
 	}
 	if maxInitialDelay+longestQueue > deliveryDeadline {
-		t.Errorf("a first poll after %v may be answered %v after the deadline", maxInitialDelay, maxInitialDelay+longestQueue-deliveryDeadline)
+		t.Errorf("a first poll after %v may be answered %v after the deadline, want by the deadline",
+			maxInitialDelay, maxInitialDelay+longestQueue-deliveryDeadline)
 	}
 }
 
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -76,7 +76,8 @@
 			s := testSnapshot()
 			age, discarded, err := s.Validate(Clocks{Wall: testTime.Add(c.age)}, c.relay, c.generation, limits)
 			if !errors.Is(err, c.err) || len(discarded) != c.discarded {
-				t.Errorf("Validate: discarded %v, error %v; want %d discarded parts, error %v", discarded, err, c.discarded, c.err)
+				t.Errorf("Validate: discarded %v, error %v; want %d discarded parts, error %v",
+					discarded, err, c.discarded, c.err)
 				return
 			}
 			if err != nil {
@@ -112,7 +113,8 @@
 			continue
 		}
 		if m := s.Learned.Policy.Members[5]; m.Uptime != 4*time.Second || s.Learned.ReinstatedAges["s-1"] != time.Second {
-			t.Errorf("rebooted, clock stepped by %v: member %+v, reinstated %v; want uptime and reinstatement unchanged", step, m, s.Learned.ReinstatedAges)
+			t.Errorf("rebooted, clock stepped by %v: member %+v, reinstated %v; want uptime and reinstatement unchanged",
+				step, m, s.Learned.ReinstatedAges)
 		}
 	}
 }
