--- a/internal/drift/codec_test.go
+++ b/internal/drift/codec_test.go
@@ -122,8 +122,8 @@
 	slices.Reverse(items)
 	monitor.SetIntent(1, "n1", items)
 	monitor.HandleReport(2, reporter.NextReport(2))
-	if rows := monitor.Findings(); len(rows) != 0 {
-		t.Fatalf("Findings() = %+v, want none for a relay in sync", rows)
+	if findings := monitor.Findings(); len(findings) != 0 {
+		t.Fatalf("Findings() = %+v, want none for a relay in sync", findings)
 	}
 }
 
--- a/internal/drift/monitor_test.go
+++ b/internal/drift/monitor_test.go
@@ -101,8 +101,8 @@
 			}
 		}
 		monitor.Tick(now + 4001)
-		if rows := monitor.Findings(); len(rows) != 1 || rows[0].State != Unknown {
-			t.Fatalf("Findings() after 4 s without reports = %+v, want one finding with the state %v", rows, Unknown)
+		if findings := monitor.Findings(); len(findings) != 1 || findings[0].State != Unknown {
+			t.Fatalf("Findings() after 4 s without reports = %+v, want one finding with the state %v", findings, Unknown)
 		}
 	})
 }
@@ -129,7 +129,7 @@
 		t.Fatalf("state after two reports of %v in a row = %v", last.state, state)
 	case last.state == InSync && state == Propagating, last.state != InSync && state == InSync:
 		t.Fatalf("state = %v, but the last report gives %v", state, last.state)
-	case state >= Lagging && state != last.state && state != previousState && len(reports) > 1 && state != lastClaim(reports):
+	case state >= Lagging && state != last.state && state != previousState && len(reports) > 1 && state != lastRepeatedState(reports):
 		t.Fatalf("state = %v, want one that a recent report gives: %v or %v", state, previousState, last.state)
 	case (state == Lagging || state == Ahead) && state == last.state && reportedOutOfSyncFor(reports, monitor) < min(int64(3000), bound):
 		t.Fatalf("state = %v after reports of being out of sync for %d ms, want that only after %d ms", state,
@@ -141,7 +141,7 @@
 
 // lastClaim returns the state of the last two reports in a row that agree: a single later report does
 // not end it.
-func lastClaim(reports []observedReport) State {
+func lastRepeatedState(reports []observedReport) State {
 	for i := len(reports) - 1; i > 0; i-- {
 		if reports[i].state == reports[i-1].state {
 			return reports[i].state
@@ -214,21 +214,21 @@
 		monitor.SetIntent(now, b.relay, []Item{{ItemEjections, 2, 2}, {ItemEndpointList, 1, 1}})
 	}
 	now = exchangeReports(monitor, reporters, now, 5)
-	selectNames := func(budget int, out []string) (names []string) {
-		for _, u := range monitor.SelectUnfit(budget, out, nil) {
+	selectNames := func(budget int, quarantined []string) (names []string) {
+		for _, u := range monitor.SelectUnfit(budget, quarantined, nil) {
 			names = append(names, u.Relay)
 		}
 		slices.Sort(names)
 		return names
 	}
-	out := selectNames(2, nil)
-	if len(selectNames(0, nil)) != 0 || len(selectNames(-1, nil)) != 0 || len(out) != 2 {
-		t.Fatalf("SelectUnfit with budgets 0, -1 and 2 = %v, %v and %v, want 0, 0 and 2 relays", selectNames(0, nil), selectNames(-1, nil), out)
+	quarantined := selectNames(2, nil)
+	if len(selectNames(0, nil)) != 0 || len(selectNames(-1, nil)) != 0 || len(quarantined) != 2 {
+		t.Fatalf("SelectUnfit with budgets 0, -1 and 2 = %v, %v and %v, want 0, 0 and 2 relays", selectNames(0, nil), selectNames(-1, nil), quarantined)
 	}
 	reporters[4].RecordApplied(now, Item{ItemEndpointList, 0, 9}, "file") // more severe, but does not replace a relay in quarantine
 	now = exchangeReports(monitor, reporters, now, 5)
-	if again := selectNames(2, out); !slices.Equal(again, out) {
-		t.Fatalf("SelectUnfit while the quarantined relays drift = %v, want %v", again, out)
+	if again := selectNames(2, quarantined); !slices.Equal(again, quarantined) {
+		t.Fatalf("SelectUnfit while the quarantined relays drift = %v, want %v", again, quarantined)
 	}
 	reporters[0].RecordApplied(now, Item{ItemEjections, 2, 2}, "record")
 	now = exchangeReports(monitor, reporters, now, 1)
@@ -236,7 +236,7 @@
 		t.Fatalf("state after one report in sync = %v, want %v until a second one", stateOf(monitor, "n0", ItemEjections), Rejected)
 	}
 	exchangeReports(monitor, reporters, now, 1)
-	if again := selectNames(2, out); !slices.Equal(again, []string{"n1", "n4"}) {
+	if again := selectNames(2, quarantined); !slices.Equal(again, []string{"n1", "n4"}) {
 		t.Fatalf("SelectUnfit after n0 was repaired = %v, want n1 and n4", again)
 	}
 	if outOfSync := monitor.OutOfSyncRelays(ItemEjections, []string{"n0", "n1", "nobody"}); !slices.Equal(outOfSync, []string{"nobody"}) && !slices.Equal(outOfSync, []string{"n1", "nobody"}) {
@@ -255,19 +255,19 @@
 	}
 	monitor.RecordSighting(now+1000, "n1", ItemEjections, "m2 got 5 flows")
 	now = exchangeReports(monitor, reporters, now, 2)
-	if rows := monitor.Findings(); len(rows) != 1 || rows[0].State != Contradicting || len(rows[0].Evidence) != 2 || monitor.FullyInSync("n1") || !monitor.FullyInSync("n0") {
+	if findings := monitor.Findings(); len(findings) != 1 || findings[0].State != Contradicting || len(findings[0].Evidence) != 2 || monitor.FullyInSync("n1") || !monitor.FullyInSync("n0") {
 		t.Fatalf("after two sightings: Findings() = %+v, want one with the state %v and 2 pieces of evidence; FullyInSync(n1) = %v, want false; FullyInSync(n0) = %v, want true",
-			rows, Contradicting, monitor.FullyInSync("n1"), monitor.FullyInSync("n0"))
+			findings, Contradicting, monitor.FullyInSync("n1"), monitor.FullyInSync("n0"))
 	}
-	if why, since := monitor.BlockReason([]string{"n0", "n1"}, nil); why == "" || since != monitor.Findings()[0].Since {
-		t.Fatalf("BlockReason = %q since %d, want a reason and the start of the finding", why, since)
+	if reason, since := monitor.BlockReason([]string{"n0", "n1"}, nil); reason == "" || since != monitor.Findings()[0].Since {
+		t.Fatalf("BlockReason = %q since %d, want a reason and the start of the finding", reason, since)
 	}
-	if why, since := monitor.BlockReason([]string{"n0", "n1"}, func(relay, item string) bool { return relay == "n1" && item == ItemEjections }); why != "" || since != 0 {
-		t.Fatalf("BlockReason with the drift exempt = %q since %d, want none", why, since)
+	if reason, since := monitor.BlockReason([]string{"n0", "n1"}, func(relay, item string) bool { return relay == "n1" && item == ItemEjections }); reason != "" || since != 0 {
+		t.Fatalf("BlockReason with the drift exempt = %q since %d, want none", reason, since)
 	}
 	now = exchangeReports(monitor, reporters, now, 40)
-	if rows := monitor.Findings(); len(rows) != 0 {
-		t.Fatalf("Findings() = %+v after 40 s without sightings, want none", rows)
+	if findings := monitor.Findings(); len(findings) != 0 {
+		t.Fatalf("Findings() = %+v after 40 s without sightings, want none", findings)
 	}
 	for _, b := range reporters {
 		monitor.SetIntent(now, b.relay, []Item{{ItemEjections, 2, 2}})
@@ -289,8 +289,8 @@
 		reporters[1].CountActivity(ItemEjections, KindRemovedMember, 1, 1)
 		now = exchangeReports(monitor, reporters, now, 30)
 	}
-	if rows := monitor.Findings(); len(rows) != 0 {
-		t.Fatalf("Findings() after isolated violations = %+v, want none", rows)
+	if findings := monitor.Findings(); len(findings) != 0 {
+		t.Fatalf("Findings() after isolated violations = %+v, want none", findings)
 	}
 	reporters[1].CountActivity(ItemEjections, KindRemovedMember, 2, 2)
 	exchangeReports(monitor, reporters, now, 1)
@@ -312,8 +312,8 @@
 	reporters[1].Remove("config.x")
 	now = exchangeReports(monitor, reporters, now, 3)
 	monitor.SetIntent(now, "n2", nil)
-	if rows := monitor.Findings(); len(rows) != 0 || len(monitor.sorted) != 3 {
-		t.Fatalf("Findings() = %+v with %d relays tracked, want none with 3", rows, len(monitor.sorted))
+	if findings := monitor.Findings(); len(findings) != 0 || len(monitor.sorted) != 3 {
+		t.Fatalf("Findings() = %+v with %d relays tracked, want none with 3", findings, len(monitor.sorted))
 	}
 	if exchangeReports(monitor, reporters, now, 1); monitor.Counts().UnknownRelay != 1 {
 		t.Fatalf("Counts() = %+v, want one report of an unknown relay", monitor.Counts())
@@ -334,7 +334,7 @@
 		{"long tail, 1 s", func(r *rng) int64 { x := 1 + r.ExpFloat64(); return int64(x * x * 250) }, 1.0 / 2000},
 	} {
 		for _, n := range []int{3, 40} {
-			claims, agreed, first := 0, 0, ""
+			findings, agreed, first := 0, 0, ""
 			for seed := range seedsToRun(2) {
 				w := newSimulation(seed, n, 8)
 				w.propagation = pace.apply
@@ -344,14 +344,14 @@
 				}
 				for _, c := range w.monitor.History() {
 					if c.To >= Lagging && c.To != Unknown {
-						claims++
+						findings++
 						first = cmp.Or(first, fmt.Sprintf("seed %d: %+v", seed, c))
 					}
 				}
 			}
-			t.Logf("%s, %d relays: %d findings in %d changes", pace.name, n, claims, agreed)
-			if float64(claims) > pace.share*float64(agreed) {
-				t.Errorf("%s, %d relays: %d findings in %d changes, want at most a share of %g; first: %s", pace.name, n, claims, agreed, pace.share, first)
+			t.Logf("%s, %d relays: %d findings in %d changes", pace.name, n, findings, agreed)
+			if float64(findings) > pace.share*float64(agreed) {
+				t.Errorf("%s, %d relays: %d findings in %d changes, want at most a share of %g; first: %s", pace.name, n, findings, agreed, pace.share, first)
 			}
 		}
 	}
--- a/internal/drift/planted_test.go
+++ b/internal/drift/planted_test.go
@@ -102,16 +102,16 @@
 		for i, s := range w.relays {
 			names[i] = s.name
 		}
-		if why, _ := w.monitor.BlockReason(names, nil); !strings.Contains(why, "and 13 more") {
-			t.Fatalf("seed %d: BlockReason = %q, want a text with \"and 13 more\"", seed, why)
+		if reason, _ := w.monitor.BlockReason(names, nil); !strings.Contains(reason, "and 13 more") {
+			t.Fatalf("seed %d: BlockReason = %q, want a text with \"and 13 more\"", seed, reason)
 		}
-		if out := w.monitor.SelectUnfit(4, nil, nil); len(out) != 4 {
-			t.Fatalf("seed %d: SelectUnfit = %v, want 4 relays", seed, out)
+		if unfit := w.monitor.SelectUnfit(4, nil, nil); len(unfit) != 4 {
+			t.Fatalf("seed %d: SelectUnfit = %v, want 4 relays", seed, unfit)
 		}
 		w.repairAll()
 		w.advance(60_000)
-		if rows := w.monitor.Findings(); len(rows) > 0 {
-			t.Fatalf("seed %d: finding 60 s after the repair: %+v", seed, rows[0])
+		if findings := w.monitor.Findings(); len(findings) > 0 {
+			t.Fatalf("seed %d: finding 60 s after the repair: %+v", seed, findings[0])
 		}
 	}
 	for _, kind := range []State{Lagging, Rejected, Regressed, Ahead, Overridden, Contradicting} {
--- a/internal/drift/simulation_test.go
+++ b/internal/drift/simulation_test.go
@@ -375,8 +375,8 @@
 				t.Fatalf("seed %d, %d relays: %d findings, want none; first: %s", seed, n, len(w.falseFindings), w.falseFindings[0])
 			}
 			w.advance(120_000)
-			if rows := w.monitor.Findings(); len(rows) > 0 && !slices.ContainsFunc(w.relays, func(s *simRelay) bool { return !s.up }) {
-				t.Fatalf("seed %d, %d relays: not in sync 2 minutes after the last fault: %+v", seed, n, rows[0])
+			if findings := w.monitor.Findings(); len(findings) > 0 && !slices.ContainsFunc(w.relays, func(s *simRelay) bool { return !s.up }) {
+				t.Fatalf("seed %d, %d relays: not in sync 2 minutes after the last fault: %+v", seed, n, findings[0])
 			}
 		}
 	}
--- a/internal/fleet/propose.go
+++ b/internal/fleet/propose.go
@@ -107,7 +107,7 @@
 // ConfirmLeave asks a majority whether this relay's order to leave with that number is still in force.
 // Leaving cannot be undone, and this process may have been suspended since it received the order. It
 // must be called on the event loop and calls done there. Confirmed is false if no majority answered.
-func (s *Service) ConfirmLeave(number uint64, done func(stands, confirmed bool)) {
+func (s *Service) ConfirmLeave(number uint64, done func(inForce, confirmed bool)) {
 	s.run(func() {
 		ctx, cancel := context.WithTimeout(s.ctx, callTimeout)
 		defer cancel()
--- a/internal/rollout/plan_halt.go
+++ b/internal/rollout/plan_halt.go
@@ -60,14 +60,14 @@
 		if r.State != ReleaseHalted || r.Halt.NeedsOperator || p.now-r.Halt.HaltedAt < p.budgets.SilentAfterMS {
 			continue
 		}
-		if p.haltCauseGone(r) {
+		if p.haltCauseCleared(r) {
 			return &Command{Kind: CommandResume, Name: r.Name, Cause: r.Halt.Cause, BaseVersion: p.record.Version}
 		}
 	}
 	return nil
 }
 
-func (p *planner) haltCauseGone(r *release) bool {
+func (p *planner) haltCauseCleared(r *release) bool {
 	switch r.Halt.Cause {
 	case HaltOverBudget:
 		return p.allowanceFor(r.Spec.Kind).exhaustedReason() == ""
