--- a/internal/fleet/agreed_state.go
+++ b/internal/fleet/agreed_state.go
@@ -83,8 +83,8 @@
 	return err
 }
 
-// replaceOlderParts replaces the exclusions and the canary weights of desired by the saved ones,
-// each if the record that this relay has received so far has an older version of it.
+// replaceOlderParts replaces the exclusions of desired by the saved ones if the saved version is newer
+// than that of the record received so far. It does the same for the canary weights.
 func (a agreedState) replaceOlderParts(desired *DesiredState) {
 	if desired.RecordVersion < a.Version {
 		desired.Exclusions = a.Exclusions
--- a/internal/fleet/api_releases.go
+++ b/internal/fleet/api_releases.go
@@ -60,7 +60,7 @@
 	return reason
 }
 
-// handleOpenRelease opens a release, with its canary if the body has one.
+// handleOpenRelease opens a release, together with its canary if the request body has one.
 func (s *Service) handleOpenRelease(w http.ResponseWriter, r *http.Request) {
 	var request struct {
 		Name      string `json:"name"`
--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -17,11 +17,13 @@
 
 // Config is the configuration section `fleet`.
 type Config struct {
-	Listen        string            `json:"listen"` // address for other relays: HTTP, sealed with the gossip key
-	APIListen     string            `json:"calls"`  // address of the API for operators and owners of members: HTTP
-	Dir           string            `json:"dir"`    // directory of the record; "" keeps it in memory
-	Voters        map[string]string `json:"voters"` // listen addresses of 1, 3 or 5 relays by name; all other relays are followers
-	DialAddresses map[string]string `json:"reach"`  // by relay name: address to dial instead of that relay's listen address
+	Listen    string `json:"listen"` // address for other relays: HTTP, sealed with the gossip key
+	APIListen string `json:"calls"`  // address of the API for operators and owners of members: HTTP
+	Dir       string `json:"dir"`    // directory of the record; "" keeps it in memory
+	// Voters has the listen addresses of 1, 3 or 5 relays by name. All other relays are followers.
+	Voters map[string]string `json:"voters"`
+	// DialAddresses has, by relay name, the address to dial instead of that relay's listen address.
+	DialAddresses map[string]string `json:"reach"`
 	Disruption    struct {
 		Relays  Budget `json:"relays"`
 		Members Budget `json:"members"`
@@ -34,9 +36,10 @@
 	} `json:"out"`
 	// QuarantineDrifted puts drifted relays into quarantine, where they take no clients, as far as the
 	// budget allows. Otherwise drift is only shown.
-	QuarantineDrifted bool   `json:"take_out"`
-	Program           string `json:"program"`  // what this relay reports as its program; default: its version and the digest of its file
-	StartTimeoutMS    int64  `json:"start_ms"` // how long a replacement may take until it serves; default: 30,000
+	QuarantineDrifted bool `json:"take_out"`
+	// Program is what this relay reports as its program. Default: its version and the digest of its file.
+	Program        string `json:"program"`
+	StartTimeoutMS int64  `json:"start_ms"` // how long a replacement may take until it serves; default: 30,000
 
 	budgets rollout.Budgets
 }
@@ -48,13 +51,13 @@
 	Zone  string `json:"zone"`  // limit for each zone; default: only Total applies
 }
 
-// Intervals, timeouts and limits. Each time follows from one that the protocol or another package
-// fixes.
+// Intervals, timeouts and limits. Each duration is derived from one that the protocol or another package
+// sets.
 const (
 	reportInterval = time.Second // between two status reports of a relay
 
-	// silenceTimeout is the age of its last report at which a relay counts as silent. Four reports: lost
-	// datagrams and a change of the leader cost two.
+	// silenceTimeout is the age of its last report at which a relay counts as silent. It covers four
+	// reports, of which lost datagrams and a change of the leader cost two.
 	silenceTimeout = 4 * reportInterval
 
 	// flowExpiry is the time after which, by the protocol, a client has given up a flow whose relay is
--- a/internal/fleet/controller.go
+++ b/internal/fleet/controller.go
@@ -23,10 +23,17 @@
 	quarantined     map[string]rollout.Quarantine
 
 	// Derived from the record and from reports, at each evaluateDrift.
-	releaseSections map[string]map[string]string // by release: the items of its configuration, as reported by relays that run it
-	acceptAnyValue  map[string]bool              // section items without intent that at least half of the relays have: any value is accepted
-	blockReason     string                       // drift that blocks all releases except those that repair it; "" if none
-	blockReasons    map[string]string            // drift that blocks a release, by release; the key "" is for releases that repair nothing
+
+	// releaseSections has, by release, the items of its configuration as reported by relays that run it.
+	releaseSections map[string]map[string]string
+	// acceptAnyValue has the section items without intent that at least half of the relays have. Any
+	// value of them is accepted.
+	acceptAnyValue map[string]bool
+	// blockReason is the drift that blocks all releases except those that repair it; "" if none.
+	blockReason string
+	// blockReasons is the drift that blocks a release, by release. The key "" is for releases that
+	// repair nothing.
+	blockReasons map[string]string
 
 	candidates map[string]candidateValue // by name of an item without intent
 }
--- a/internal/fleet/desired_state.go
+++ b/internal/fleet/desired_state.go
@@ -10,12 +10,14 @@
 // DesiredState is the state that the record asks a relay to apply.
 type DesiredState struct {
 	rollout.Orders
-	RecordVersion     uint64 // version of the rollout state
-	CanaryWeights     []canary.Weight
-	CanaryVersion     uint64 // version of the canary state
-	PermitsVersion    uint64 // version of the permits in force, never 0; the event loop repeats it in ObservedState
-	AppliedIndex      uint64 // index of the last log entry that this state includes
-	MajorityConfirmed bool   // when the state was read, a majority was available and every committed entry was applied here
+	RecordVersion  uint64 // version of the rollout state
+	CanaryWeights  []canary.Weight
+	CanaryVersion  uint64 // version of the canary state
+	PermitsVersion uint64 // version of the permits in force, never 0; the event loop repeats it in ObservedState
+	AppliedIndex   uint64 // index of the last log entry that this state includes
+	// MajorityConfirmed is whether, when the state was read, a majority was available and this relay had
+	// applied every committed entry.
+	MajorityConfirmed bool
 }
 
 // applyLoop posts the desired state to the event loop whenever the record has changed, and again as
@@ -69,7 +71,9 @@
 	s.postMu.Lock()
 	defer s.postMu.Unlock()
 	var desired DesiredState
-	status := s.node.Status() // read before the record, so that the record includes at least the entries up to status.Applied
+	// Read the status before the record, so that the record includes at least the entries up to
+	// status.Applied.
+	status := s.node.Status()
 	desired.AppliedIndex, desired.MajorityConfirmed = status.Applied, status.HasQuorum && status.Applied == status.Committed
 	s.mu.Lock()
 	s.caughtUp = s.caughtUp || desired.MajorityConfirmed
--- a/internal/fleet/fleet_status.go
+++ b/internal/fleet/fleet_status.go
@@ -17,7 +17,7 @@
 	attempts   map[string]*memberAttempts // by member
 	list       relayList
 
-	expected []drift.Item // the items that the drift monitor was last given
+	expected []drift.Item // the items last passed to the drift monitor
 }
 
 // reports reports whether the relay reports the items of a group.
--- a/internal/fleet/intent.go
+++ b/internal/fleet/intent.go
@@ -15,18 +15,21 @@
 // Limits of intent.
 const (
 	maxIntentItems  = 48 // includes the configuration sections; leaves room for a relay's other drift items
-	maxFormerValues = 3  // kept per item, to recognize a relay that went back to one of them
-	maxIntentValue  = rollout.MaxNameBytes
+	maxFormerValues = 3  // stored per item, to recognize a relay that went back to one of them
+	maxIntentValue  = rollout.MaxNameBytes // bytes
 )
 
 // intent is what relays should run where no order says otherwise: the program, and the configuration
-// by section. It is one of the parts of the record. An intent that readers may have is never
-// modified: a command makes a new one.
+// by section. It is one of the parts of the record. The record's intent is never modified, as readers
+// use it without a lock: a command replaces it by a new one.
 type intent struct {
-	Version  uint64                              `json:"version"`            // version of the last change
-	Items    map[string][]intendedValue          `json:"items,omitempty"`    // for all relays, by item; newest value first
-	PerRelay map[string]map[string]intendedValue `json:"of,omitempty"`       // for single relays, by relay and item, after a release of some relays
-	Adopted  map[string]adoptedRelease           `json:"releases,omitempty"` // completed releases whose values intent has adopted, by name
+	Version uint64 `json:"version"` // version of the last change
+	// Items has the values for all relays, by item; the newest value comes first.
+	Items map[string][]intendedValue `json:"items,omitempty"`
+	// PerRelay has the values for single relays, by relay and item. A release of some relays sets them.
+	PerRelay map[string]map[string]intendedValue `json:"of,omitempty"`
+	// Adopted has, by name, the completed releases whose values intent has adopted.
+	Adopted map[string]adoptedRelease `json:"releases,omitempty"`
 }
 
 // intendedValue is the value of an item, with the version and time of the change that set it.
@@ -51,13 +54,15 @@
 // the controller's and, unless Uniform is set, changes only items without intent, so that a late
 // command changes nothing.
 type intentCommand struct {
-	Action      string            `json:"do"`
-	Items       map[string]string `json:"items,omitempty"`
-	ReplaceAll  bool              `json:"whole,omitempty"` // removes the intent of sections that Items does not name
-	Release     string            `json:"release,omitempty"`
-	Operator    string            `json:"who,omitempty"`
-	Uniform     bool              `json:"even,omitempty"` // the intent of single relays is now the same for all; rejected unless intent has BaseVersion
-	BaseVersion uint64            `json:"base,omitempty"`
+	Action     string            `json:"do"`
+	Items      map[string]string `json:"items,omitempty"`
+	ReplaceAll bool              `json:"whole,omitempty"` // removes the intent of sections that Items does not name
+	Release    string            `json:"release,omitempty"`
+	Operator   string            `json:"who,omitempty"`
+	// Uniform is set if the intent of single relays has become the same for all relays. The command is
+	// then rejected unless intent has the version BaseVersion.
+	Uniform     bool   `json:"even,omitempty"`
+	BaseVersion uint64 `json:"base,omitempty"`
 }
 
 // checkIntentItem returns why an item cannot have intent, or cannot have this value; "" if it can. The
@@ -182,6 +187,8 @@
 	return item
 }
 
+// errIntentBounds reports a decoded intent that exceeds a limit, or has an item without a value. Its text
+// is part of the error that Record.Restore returns.
 var errIntentBounds = errors.New("intent: a state beyond its bounds")
 
 // decodeIntent decodes the intent of a snapshot. A snapshot of an earlier version has none.
--- a/internal/fleet/intent_edit.go
+++ b/internal/fleet/intent_edit.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// setMissing does the same for those items that have no intent.
+// setMissing sets the intent of those of the items that have none, for all relays.
 func (e *intentEdit) setMissing(items map[string]string) {
 	for name, value := range items {
 		if len(e.Items[name]) == 0 {
--- a/internal/fleet/list_tracker.go
+++ b/internal/fleet/list_tracker.go
@@ -20,7 +20,9 @@
 // have. In a large fleet the generation rises many times a second, so that no two relays report the
 // same one. It restarts at a low number if discovery loses it.
 type listTracker struct {
-	newest           uint64 // second highest reported generation, as a single relay may be wrong; with at most two relays the highest
+	// newest is the second highest reported generation, as a single relay may be wrong. With at most two
+	// relays it is the highest.
+	newest           uint64
 	floor, nextFloor uint64 // newest as it was one to two maxListLagMS ago; the next value of floor
 	rotatedAt        int64  // when nextFloor became floor
 	startedAt        int64
@@ -29,14 +31,16 @@
 
 // relayList is what the leader knows of one relay's endpoint list.
 type relayList struct {
-	generation   uint64 // as last reported; 0: never reported
-	fell         bool   // the generation went down at fellAt and has not reached the floor again
-	fellAt       int64
-	stale        bool   // discovery has restarted and this list did not follow: it is ignored until its generation changes
+	generation uint64 // as last reported; 0: never reported
+	fell       bool   // the generation went down at fellAt and has not reached the floor again
+	fellAt     int64
+	// stale is set if discovery has restarted and this list did not fall with the others. The list is
+	// ignored until its generation changes.
+	stale        bool
 	ahead        uint64 // generation reported at aheadSince that newest has not reached since; 0: none
 	aheadSince   int64
 	aheadTooLong bool // the list has been ahead for more than maxListLagMS
-	resetMonitor bool // the drift monitor must drop its state of this item
+	resetMonitor bool // the drift monitor must discard its state of this item
 }
 
 // observe processes a reported generation. A relay whose generation falls does not count as outdated
@@ -74,7 +78,8 @@
 			}
 		}
 	}
-	if 2*fell > live && now-t.startedAt >= maxListLagMS { // earlier than that, too few relays have reported for a majority
+	// Before maxListLagMS has passed, too few relays have reported for a majority.
+	if 2*fell > live && now-t.startedAt >= maxListLagMS {
 		*t = listTracker{startedAt: t.startedAt, rotatedAt: now, restarted: true}
 		for _, r := range f.relays {
 			r.list.stale, r.list.fell, r.list.ahead = !r.list.fell, false, 0
--- a/internal/fleet/propose.go
+++ b/internal/fleet/propose.go
@@ -31,7 +31,7 @@
 	return s.submit(ctx, partRollout, c.Encode())
 }
 
-// proposeIntent does the same for a change of intent.
+// proposeIntent is like propose, for a change of intent.
 func (s *Service) proposeIntent(ctx context.Context, c intentCommand) (rollout.Result, error) {
 	body, err := json.Marshal(c)
 	if err != nil {
@@ -106,7 +106,8 @@
 
 // ConfirmLeave asks a majority whether this relay's order to leave with that number is still in force.
 // Leaving cannot be undone, and this process may have been suspended since it received the order. It
-// must be called on the event loop and calls done there. Confirmed is false if no majority answered.
+// must be called on the event loop and calls done there. Confirmed is false if no majority answered;
+// inForce then comes from this relay's copy of the record, which may be outdated.
 func (s *Service) ConfirmLeave(number uint64, done func(inForce, confirmed bool)) {
 	s.run(func() {
 		ctx, cancel := context.WithTimeout(s.ctx, callTimeout)
--- a/internal/fleet/record.go
+++ b/internal/fleet/record.go
@@ -234,7 +234,8 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.items, r.rollout, r.canary, r.intent = s.Items, rolloutState, canaryState, intentState
-	r.items.Permits.Name, r.items.CanaryWeights.Name = drift.ItemPermits, drift.ItemCanaryWeights // absent in snapshots of earlier versions
+	// Snapshots of earlier versions lack these two items.
+	r.items.Permits.Name, r.items.CanaryWeights.Name = drift.ItemPermits, drift.ItemCanaryWeights
 	r.updateItems()
 	r.changes++
 	r.notifyChanged()
--- a/internal/fleet/release_with_canary.go
+++ b/internal/fleet/release_with_canary.go
@@ -15,7 +15,9 @@
 // releaseWithCanary is the body of a command for partReleaseWithCanary.
 type releaseWithCanary struct {
 	Release json.RawMessage `json:"release"` // a rollout command of the kind rollout.CommandOpen
-	Canary  canary.Spec     `json:"canary"`  // the release's name is ignored; without a target: the members that start from now on
+	// Canary is the canary's spec. Its release name is ignored. If it has no target, the target is all
+	// members that start from now on.
+	Canary canary.Spec `json:"canary"`
 }
 
 // openWithCanary applies a releaseWithCanary command.
--- a/internal/fleet/status_report.go
+++ b/internal/fleet/status_report.go
@@ -27,11 +27,12 @@
 	CanaryCounts   []byte         `json:"counts,omitempty"`
 	LocalEjections []string       `json:"local,omitempty"` // members ejected by operators at this relay only
 
-	ConfigSections  map[string]string `json:"sections,omitempty"` // digest by section
-	RejectedItems   []string          `json:"refused,omitempty"`
-	ReportedGroups  []string          `json:"tells,omitempty"` // groups of drift items that this relay reports
-	QuarantineOrder uint64            `json:"shut,omitempty"`  // number of the order by which the relay takes no clients; 0: no such order
-	ListRestarted   bool              `json:"anew,omitempty"`  // the list's generation has fallen during this process
+	ConfigSections map[string]string `json:"sections,omitempty"` // digest by section
+	RejectedItems  []string          `json:"refused,omitempty"`
+	ReportedGroups []string          `json:"tells,omitempty"` // groups of drift items that this relay reports
+	// QuarantineOrder is the number of the order by which the relay takes no clients; 0: no such order.
+	QuarantineOrder uint64 `json:"shut,omitempty"`
+	ListRestarted   bool   `json:"anew,omitempty"` // the list's generation has fallen during this process
 }
 
 // memberReport is a relay's report on one member. The JSON names are short because a status report
--- a/internal/fleet/status_reporter.go
+++ b/internal/fleet/status_reporter.go
@@ -170,7 +170,8 @@
 		r.driftReporter.RecordApplied(now, running, "file")
 		return
 	}
-	item := rejectedItem{running, intended.Version, cmp.Or(reason, "refused")} // the reason is sent to the leader and shown in GET /-/drift
+	// The reason is sent to the leader and shown in GET /-/drift.
+	item := rejectedItem{running, intended.Version, cmp.Or(reason, "refused")}
 	if r.rejected[name] != item {
 		r.rejected[name] = item
 		r.driftReporter.RecordApplied(now, running, "file")
