--- a/internal/canary/checkpoint.go
+++ b/internal/canary/checkpoint.go
@@ -21,9 +21,13 @@
 	// a third longer, fits into one command of the record.
 	MaxCheckpointBytes = 128 << 10
 
-	minCheckpointIntervalMS  = 5000 // a change of leader may lose the evidence of this time
-	checkpointBytesPerSecond = 1000 // limit on checkpoint traffic to each relay that follows the record: as much as two reports
-	checkpointVersion        = 1
+	minCheckpointIntervalMS = 5000 // a change of leader may lose the evidence of this time
+
+	// checkpointBytesPerSecond limits the checkpoint traffic to each relay that follows the record. It is
+	// as much as two reports.
+	checkpointBytesPerSecond = 1000
+
+	checkpointVersion = 1
 
 	// evidenceResolution is the number of steps per unit of log evidence in a checkpoint. Values are
 	// rounded down: less evidence is still valid evidence.
--- a/internal/canary/judge_decide.go
+++ b/internal/canary/judge_decide.go
@@ -88,7 +88,7 @@
 func (j *Judge) healthy() bool {
 	weight := j.settings.Steps[j.settings.Step]
 	switch {
-	case j.attributionLeft > 0 || j.slices < minStepSlices: // harm is being attributed, or there was no time to find any
+	case j.attributionLeft > 0 || j.slices < minStepSlices: // harm is being attributed, or the step is too young
 		return false
 	case weight == fullWeight: // no baseline is left to compare with
 		return j.canaryAttempts >= j.settings.MinAttempts
--- a/internal/canary/judge_fault.go
+++ b/internal/canary/judge_fault.go
@@ -3,10 +3,16 @@
 import "math"
 
 const (
-	faultyMarginPerMille = 100  // a relay is faulty if its baseline's failure rate exceeds that of the others by this,
-	faultyShiftBuckets   = 4    // or is slower by this many buckets (a factor of 4)
-	faultyCutShare       = 0.25 // share of the class's baseline durations above the cut
-	minRelaysForFault    = 3    // of two relays that differ, either may be the faulty one
+	// faultyMarginPerMille is by how much the failure rate of a relay's baseline must exceed that of the
+	// other relays for the relay to be faulty.
+	faultyMarginPerMille = 100
+
+	// faultyShiftBuckets is by how many buckets (a factor of 4) the durations of a relay's baseline must
+	// be slower than those of the other relays for the relay to be faulty.
+	faultyShiftBuckets = 4
+
+	faultyCutShare    = 0.25 // share of the class's baseline durations above the cut
+	minRelaysForFault = 3    // of two relays that differ, either may be the faulty one
 )
 
 // faultHarms are the harms that testRelayFault looks for, beyond its null hypothesis.
--- a/internal/canary/judge_slice.go
+++ b/internal/canary/judge_slice.go
@@ -96,7 +96,8 @@
 		s.baseline, s.waitedSlices = Tally{}, 0 // baseline counts alone are no evidence about the canary
 		return
 	}
-	if s.classHistory.Attempts < minBaselineAttempts { // depends on earlier counts only, so dropping the block adds no bias
+	if s.classHistory.Attempts < minBaselineAttempts {
+		// This depends only on earlier counts, so discarding the block adds no bias.
 		s.clearBlock()
 		return
 	}
@@ -129,7 +130,8 @@
 		}
 		var c blockCounts
 		c.baselineTrials, c.baselineBad = t.trials(&s.baseline, cut)
-		c.canaryTrials, c.canaryBad = t.trials(&s.canary, cut+t.shiftBuckets) // the guardrail's factor allows slower durations
+		// The guardrail's factor allows the canary slower durations.
+		c.canaryTrials, c.canaryBad = t.trials(&s.canary, cut+t.shiftBuckets)
 		if c.baselineTrials == 0 || c.canaryTrials == 0 {
 			continue
 		}
--- a/internal/canary/types.go
+++ b/internal/canary/types.go
@@ -91,14 +91,18 @@
 
 // Spec is the configuration of a canary, as its release defines it.
 type Spec struct {
-	Release           string           `json:"release"`
-	Target            Selector         `json:"arm"`
-	Salt              uint64           `json:"salt"`    // chosen by the proposer; different for each release
-	Steps             []int            `json:"ladder"`  // weights in per mille of new flows, increasing
-	MinAttempts       uint64           `json:"floor"`   // attempts to the canary that a step needs, counting only those comparable with the baseline
-	MaxStepMS         int64            `json:"longest"` // the canary pauses after this time on a step without a verdict
-	Guardrails        []Guardrail      `json:"guards"`
-	FalsePositiveRate float64          `json:"error"` // upper bound on the share of healthy releases paused, over all steps and guardrails
+	Release string   `json:"release"`
+	Target  Selector `json:"arm"`
+	Salt    uint64   `json:"salt"`   // chosen by the proposer; different for each release
+	Steps   []int    `json:"ladder"` // weights in per mille of new flows, increasing
+	// MinAttempts is the number of attempts to the canary that a step needs. Only attempts that can be
+	// compared with the baseline count.
+	MinAttempts uint64      `json:"floor"`
+	MaxStepMS   int64       `json:"longest"` // the canary pauses after this time on a step without a verdict
+	Guardrails  []Guardrail `json:"guards"`
+	// FalsePositiveRate is an upper bound on the share of healthy releases that are paused, over all
+	// steps and guardrails.
+	FalsePositiveRate float64          `json:"error"`
 	OnDivergence      DivergencePolicy `json:"diverge,omitempty"`
 }
 
@@ -108,7 +112,7 @@
 	Status        Status   `json:"status"`
 	Step          int      `json:"rung"`
 	PerMille      int      `json:"per_mille"` // current weight, of new flows
-	Epoch         uint64   `json:"epoch"`     // increases with open and resume; a pause applies to one epoch and ends with it
+	Epoch         uint64   `json:"epoch"`     // increases with open and resume; a pause ends with its epoch
 	Revision      uint64   `json:"number"`    // increases with each change of this canary
 	StepStartedAt int64    `json:"rung_at"`
 	PausedSteps   []int    `json:"paused,omitempty"`
--- a/internal/canary/verdict.go
+++ b/internal/canary/verdict.go
@@ -23,11 +23,11 @@
 	LogEValue  float64       `json:"Evidence"` // natural logarithm of that metric's e-value
 	Threshold  float64       `json:"Needed"`   // the LogEValue at which the canary pauses
 	Compared   uint64        `json:"Compared"` // attempts to the canary that could be compared with the baseline
-	Suspected  bool          `json:"Doubt"`    // LogEValue is at least half the threshold: no step up, whatever Compared is
+	Suspected  bool          `json:"Doubt"`    // LogEValue is at least half the threshold, so there is no step up
 	Zones      []string      `json:"Zones"`    // zones where outcomes diverge
 	Relays     []string      `json:"Relays"`   // single relays where outcomes diverge
 	Faulty     []FaultyRelay `json:"Ill"`      // relays that are excluded: their baseline is bad too
-	Checkpoint []byte        `json:"-"`        // the evidence to store in the record; nil until the next checkpoint is due
+	Checkpoint []byte        `json:"-"`        // evidence to store in the record; nil until the next one is due
 }
 
 // FaultyRelay is a relay whose baseline is worse than that of the other relays.
--- a/internal/drift/activities.go
+++ b/internal/drift/activities.go
@@ -8,7 +8,7 @@
 // trackedActivity is one of a relay's activity counts, as last reported.
 type trackedActivity struct {
 	Activity
-	baseViolations   uint64 // violations up to this number are not held against the relay
+	baseViolations   uint64 // violations up to this number do not count against the relay
 	sentAt           int64  // when the last report with this count was sent
 	receivedAt       int64  // when that report was received
 	violationsRoseAt int64  // when Violations last changed
@@ -19,8 +19,8 @@
 	reason          string // for the current state
 	evidence        []string
 	contradicted    bool  // the relay's behaviour was seen to contradict its reports
-	sightings       int   // how often other relays saw that
-	lastViolationAt int64 // when it was last seen
+	sightings       int   // how often other relays saw such a contradiction
+	lastViolationAt int64 // when a contradiction was last seen
 }
 
 func (s *suspicion) clear() { s.contradicted, s.sightings = false, 0 }
--- a/internal/drift/monitor.go
+++ b/internal/drift/monitor.go
@@ -10,15 +10,18 @@
 	// a finding, and the number of sightings or violations needed for the state Contradicting.
 	confirmations = 2
 
-	maxRecentVersions    = 4    // agreed versions remembered per item, for a relay that applies them one by one
-	maxPendingChanges    = 8192 // between two calls of Tick
-	maxLagEstimates      = 4 * MaxGroups
-	defaultInterval      = 1000 // ms
-	defaultGrace         = 5000 // ms
-	defaultPrior         = 15   // intervals
-	defaultMaxBound      = 300  // intervals
-	defaultSlowFactor    = 8
-	silentAfterIntervals = 4 // at 5% loss, four reports in a row are lost 6 times in a million, and silence is not drift
+	maxRecentVersions = 4    // agreed versions remembered per item, for a relay that applies them one by one
+	maxPendingChanges = 8192 // between two calls of Tick
+	maxLagEstimates   = 4 * MaxGroups
+	defaultInterval   = 1000 // ms
+	defaultGrace      = 5000 // ms
+	defaultPrior      = 15   // intervals
+	defaultMaxBound   = 300  // intervals
+	defaultSlowFactor = 8
+
+	// silentAfterIntervals is the number of intervals without a report after which a relay is silent. At
+	// 5% loss, four reports in a row are lost 6 times in a million. Silence does not count as drift.
+	silentAfterIntervals = 4
 
 	// unreachableSilentAfterIntervals replaces silentAfterIntervals if the relay is Unreachable or Terminated.
 	unreachableSilentAfterIntervals = 2
@@ -32,7 +35,7 @@
 
 	lags        map[string]*lagEstimate // by group
 	fleetLag    *lagEstimate            // over all groups; the prior for groups with few samples
-	recoveryLag *lagEstimate            // of relays that came back: from their first report until an item was in sync
+	recoveryLag *lagEstimate            // of relays that restarted or were silent: from their next report until an item was in sync
 	arrivals    map[Item]*arrivalCount  // by name and version
 
 	pendingChanges []Change // since the last Tick
--- a/internal/drift/reports.go
+++ b/internal/drift/reports.go
@@ -77,7 +77,7 @@
 	return report.Incarnation == r.incarnation && report.Seq <= r.seq || report.Incarnation < r.incarnation && !r.silent
 }
 
-// discountReportGap adds a gap between reports to the time that out-of-sync items have. Only time in which
+// discountReportGap extends the time allowed to out-of-sync items by a gap between reports. Only time in which
 // the relay reports counts towards the lag bound, so a relay that is stopped or partitioned too briefly to be
 // marked silent does not drift because of that.
 func (r *relayState) discountReportGap(sentAt, gap int64) {
--- a/internal/drift/types.go
+++ b/internal/drift/types.go
@@ -21,7 +21,7 @@
 	MaxSourceBytes    = 24
 	MaxReasonBytes    = 100 // of a reason or one piece of evidence
 	MaxEvidence       = 4   // pieces of evidence per item: the first three and the newest
-	MaxHistory        = 256 // state changes kept by a Monitor
+	MaxHistory        = 256 // state changes stored by a Monitor
 )
 
 // Item names without a dot, which are also the names of their groups. An item "config.SECTION"
@@ -58,7 +58,7 @@
 	Source          string // where the version came from: the record, a file, an operator's call, ...
 	RejectReason    string // why the relay rejected RejectedVersion; "" if there is none
 	RejectedVersion uint64 // 0 if no version was rejected since the last one was applied
-	Progress        uint64 // rises while the relay works on the next version, so that slow is not taken for stuck
+	Progress        uint64 // rises while the relay works on the next version, so that a slow relay is not taken for a stuck one
 	LocalOverride   bool   // an operator's call at that relay changed the item
 }
 
--- a/internal/fleet/intent.go
+++ b/internal/fleet/intent.go
@@ -14,8 +14,8 @@
 
 // Limits of intent.
 const (
-	maxIntentItems  = 48 // includes the configuration sections; leaves room for a relay's other drift items
-	maxFormerValues = 3  // stored per item, to recognize a relay that went back to one of them
+	maxIntentItems  = 48                   // includes the configuration sections; leaves room for a relay's other drift items
+	maxFormerValues = 3                    // stored per item, to recognize a relay that went back to one of them
 	maxIntentValue  = rollout.MaxNameBytes // bytes
 )
 
--- a/internal/rollout/apply_observe.go
+++ b/internal/rollout/apply_observe.go
@@ -82,7 +82,7 @@
 		}
 		u.closeOrder(next)
 	case o.Phase == PhasePending && u.Phase == PhaseDone && u.Stranded:
-		// It is back in the view and can be reverted after all.
+		// The unit is in the view again, so it can be reverted.
 		u.Stranded = false
 	default:
 		return false
--- a/internal/rollout/apply_release.go
+++ b/internal/rollout/apply_release.go
@@ -138,7 +138,8 @@
 	}
 	for _, w := range c.Baseline {
 		if !(w.Requested >= 0 && w.Served >= 0 && w.Served <= w.Requested && w.Requested <= maxWindowRequests) {
-			return reject("a window that served more than was asked") // or has a count that is negative, too large or NaN
+			// Served exceeds Requested, or a count is negative, too large or NaN.
+			return reject("a window that served more than was asked")
 		}
 	}
 	for _, u := range c.Units {
@@ -175,7 +176,8 @@
 	for i := range rec.Releases {
 		r := &rec.Releases[i]
 		if r.State == ReleaseRolledBack && rec.activeOverlap(r) == "" && r.hasRevertibleUnit() {
-			r.State, r.EndedAt, r.ResumedAt, r.ProgressAt = ReleaseRollingBack, 0, at, at // a stranded unit came back updated
+			// A unit that was stranded is back in service with the release's version, and can be reverted.
+			r.State, r.EndedAt, r.ResumedAt, r.ProgressAt = ReleaseRollingBack, 0, at, at
 		}
 		if r.QueuedBehind == "" {
 			continue
--- a/internal/rollout/budgets.go
+++ b/internal/rollout/budgets.go
@@ -10,21 +10,23 @@
 
 // Budgets are the settings that the leader plans with. All durations are in milliseconds.
 type Budgets struct {
-	Relays          Budget  `json:"relays"`
-	Members         Budget  `json:"members"`
-	CapacityReserve float64 `json:"headroom"` // the remaining capacity must be at least 1+CapacityReserve times the load
-	SilentAfterMS   int64   `json:"silent"`   // a relay without a report for longer counts as unavailable
-	FlowHoldMS      int64   `json:"hold"`     // a relay without a report for longer has no flows left at excluded members
-	ViewMaxAgeMS    int64   `json:"fresh"`    // greatest age of a view when a command planned from it is applied
-	DrainTimeoutMS  int64   `json:"drain"`    // time allowed for a relay or member to drain
-	StartTimeoutMS  int64   `json:"start"`    // time allowed from the start of a relay or member until it serves
-	WarmupMS        int64   `json:"warm"`     // duration of a member's slow start
+	Relays  Budget `json:"relays"`
+	Members Budget `json:"members"`
+	// The remaining capacity must be at least 1+CapacityReserve times the load.
+	CapacityReserve float64 `json:"headroom"`
+	SilentAfterMS   int64   `json:"silent"` // a relay without a report for longer counts as unavailable
+	// A relay without a report for longer than FlowHoldMS has no flows left at excluded members.
+	FlowHoldMS     int64 `json:"hold"`
+	ViewMaxAgeMS   int64 `json:"fresh"` // greatest age of a view when a command planned from it is applied
+	DrainTimeoutMS int64 `json:"drain"` // time allowed for a relay or member to drain
+	StartTimeoutMS int64 `json:"start"` // time allowed from the start of a relay or member until it serves
+	WarmupMS       int64 `json:"warm"`  // duration of a member's slow start
 	// Time within which a granted permit must be begun, and the target of a begun one taken down.
 	PermitWindowMS int64   `json:"window"`
 	ClockDrift     float64 `json:"clock"` // greatest relative error of a clock's rate, such as 0.01
 	DriftHaltMS    int64   `json:"drift"` // View.Drift that lasts longer halts releases
-	// Share of requests, such as 0.05, that a release may cost before it halts; noise is allowed on
-	// top.
+	// Share of the requested service, such as 0.05, that a release may cost before it halts; noise is
+	// allowed on top.
 	ServiceTolerance float64 `json:"slack"`
 }
 
--- a/internal/rollout/command.go
+++ b/internal/rollout/command.go
@@ -21,7 +21,7 @@
 
 // Commands of the leader. An operator may send CommandReadmit too.
 const (
-	CommandSetUnits      CommandKind = "lay"  // Name, Units in order and as they were before the release, Baseline
+	CommandSetUnits      CommandKind = "lay"  // Name, Baseline, Units (in order, as they were before the release)
 	CommandStep          CommandKind = "step" // Grants (units and permits that may go out now), BaseVersion, ViewSummary
 	CommandObserve       CommandKind = "seen" // Observations: progress of units, permits and readmitted relays
 	CommandExpirePermits CommandKind = "void" // PermitNumbers: permits not begun in time, or no longer requested
@@ -40,7 +40,8 @@
 const (
 	HaltByOperator Cause = "operator"
 	HaltVerdict    Cause = "verdict" // View.Degraded is set
-	// More is out or lost than the budget allows, or the remaining capacity is below the load.
+	// More relays or members are out or unavailable than the budget allows, or the remaining capacity is
+	// below the load.
 	HaltOverBudget      Cause = "overdrawn"
 	HaltOverdue         Cause = "overdue" // a unit has been out for too long
 	HaltServiceDegraded Cause = "service" // the service is worse than before the release, beyond tolerance and noise
--- a/internal/rollout/doc.go
+++ b/internal/rollout/doc.go
@@ -1,6 +1,8 @@
 // Package rollout decides which relays and members of a fleet may go out of service, when and in
 // which order: releases, drains, permits for requesters outside the fleet, ejections, halts,
-// rollbacks, and the quarantine of relays that have drifted.
+// rollbacks, and the quarantine of relays that have drifted. In names and comments, "out" is short for
+// out of service. A relay or member is out by plan while a release, a permit or a quarantine takes it
+// out.
 //
 // The state is replicated. It changes only by commands, which have the same effect on every relay
 // (State.Apply). State.Plan runs on the leader: it is a pure function of the state and the leader's
--- a/internal/rollout/permit.go
+++ b/internal/rollout/permit.go
@@ -9,7 +9,7 @@
 const (
 	maxPermitDurationMS    = 7 * 24 * 3600 * 1000 // 7 days
 	permitRetryMS          = 1000                 // the leader plans several times a second
-	permitRequestTimeoutMS = 30 * permitRetryMS   // a waiting permit is dropped if its request is not repeated for longer
+	permitRequestTimeoutMS = 30 * permitRetryMS   // a waiting permit expires if its request is not repeated within this time
 )
 
 // PermitState is the state of a permit.
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -32,8 +32,9 @@
 // if those before it were applied, and names the version that they produce. If one of them is not
 // applied, the rest is rejected and the next call plans again.
 //
-// For a relay that never reported, ReportAgeMS must be the age of the view. With a smaller value the relay
-// would count as holding flows forever, and members would never count as drained.
+// For a relay that never reported to this leader, ReportAgeMS must be the time since the leader began to
+// receive reports. If it did not grow, the relay would count as having flows forever, and members would
+// never count as drained.
 func (s *State) Plan(now int64, v View, b Budgets) []Command {
 	p := s.record.newPlanner(now, v, b)
 	next := State{s.record.clone()}
--- a/internal/rollout/plan_step.go
+++ b/internal/rollout/plan_step.go
@@ -8,8 +8,8 @@
 // stepCommand returns the step that grants what may go out now, or nil. Permits come first, because their
 // requesters wait outside the fleet, then releases in the order in which they were opened. Once a
 // release has waited for half of maxOutMS, releases come first, so that a steady flow of permits cannot
-// block them. Stalled holds, by release, why none of its units may go out, for releases that wait for no
-// unit to come back.
+// block them. Stalled has, by release, the reason why none of its units may go out. Releases that wait for a
+// unit to return to service are not in it.
 func (p *planner) stepCommand() (step *Command, stalled map[string]string) {
 	step = &Command{Kind: CommandStep, BaseVersion: p.record.Version, ViewSummary: p.viewSummary()}
 	stalled = map[string]string{}
--- a/internal/rollout/release.go
+++ b/internal/rollout/release.go
@@ -17,7 +17,7 @@
 	Config     string   `json:"config,omitempty"`
 	Eject      []string `json:"ban,omitempty"`
 	Reinstate  []string `json:"allow,omitempty"`
-	Queue      bool     `json:"wait,omitempty"` // wait for an overlapping release to end; if false, an overlap is an error
+	Queue      bool     `json:"wait,omitempty"` // wait for an overlapping release to end, instead of an error
 	FirstAlone bool     `json:"lone,omitempty"` // the first unit goes out alone and must be back before the next one
 	ZoneByZone bool     `json:"zonal,omitempty"`
 }
@@ -126,8 +126,11 @@
 type release struct {
 	ReleaseStatus
 	UnitsSet   bool  `json:"laid,omitempty"`
-	UnitsSetAt int64 `json:"since,omitempty"`   // service windows after this time are compared with the baseline
-	ResumedAt  int64 `json:"resumed,omitempty"` // a unit is overdue relative to this time or its order, whichever is later
+	UnitsSetAt int64 `json:"since,omitempty"` // service windows after this time are compared with the baseline
+	// The time until a unit is overdue counts from ResumedAt or from the unit's order, whichever is later.
+	ResumedAt int64 `json:"resumed,omitempty"`
+	// ProgressAt is when a unit last changed its phase or was granted, or when the release was opened,
+	// resumed, got its units, or got another release to wait for, or none, whichever is latest.
 	ProgressAt int64 `json:"moved,omitempty"`
 	serviceBaseline
 	HaltCauses []Cause `json:"causes,omitempty"` // distinct causes for which the leader has halted it
--- a/internal/rollout/view.go
+++ b/internal/rollout/view.go
@@ -1,25 +1,27 @@
 package rollout
 
 // View is the leader's view of the fleet. A relay's fields and its flows at members come from the same
-// load report. Names are unique.
+// status report. Names are unique.
 type View struct {
 	At              int64           `json:"at"`
 	Relays          []Relay         `json:"relays"`
 	Members         []Member        `json:"members"`
-	Load            float64         `json:"load"`    // member connections in use or requested
+	Load            float64         `json:"load"`    // load of the members, in flows
 	Service         []ServiceWindow `json:"service"` // windows with counts from all relays, oldest first
 	Degraded        string          `json:"worse,omitempty"`
 	DegradedRelease string          `json:"worse_of,omitempty"` // release that Degraded refers to; "" for all
 	// Drift of relays that are not quarantined; blocks releases.
 	Drift   string `json:"drift,omitempty"`
 	DriftMS int64  `json:"drift_ms,omitempty"` // how long Drift has lasted
-	// Unfit holds the relays that should be quarantined, with the reason. A quarantined relay that is
-	// not in it is readmitted, so a leader that does not know yet must list those that are quarantined.
+	// Unfit has the relays that should be quarantined, with the reason. A quarantined relay that is not
+	// in it is readmitted, so it must include the quarantined relays of which the leader does not know
+	// yet whether they still drift.
 	Unfit      map[string]string `json:"unfit,omitempty"`
 	UnfitOrder []string          `json:"unfit_order,omitempty"` // names in Unfit, worst first
 }
 
-// ServiceWindow counts the requests of all relays in one window of time.
+// ServiceWindow has the service that clients requested and got from all relays in one window of time. The
+// caller chooses the unit, such as requests or seconds of clients' time.
 type ServiceWindow struct {
 	EndsAt    int64   `json:"at"`
 	Requested float64 `json:"asked"`
@@ -36,8 +38,8 @@
 type Relay struct {
 	Name string `json:"name"`
 	Zone string `json:"zone"`
-	// Time since its last load report, or since the view began if there was none; negative: not
-	// reporting.
+	// Time since its last status report, or since the leader began to receive reports if there was none;
+	// negative: not reporting.
 	ReportAgeMS    int64   `json:"heard_ms"`
 	Exited         bool    `json:"gone"`  // it is certain that its process has ended
 	StartNumber    uint64  `json:"start"` // rises with every process
@@ -57,10 +59,10 @@
 	Zone              string                `json:"zone"`
 	Listed            string                `json:"listed"` // state of the member in discovery
 	Program           string                `json:"program"`
-	Started           int64                 `json:"started"` // wall-clock milliseconds
-	Capacity          float64               `json:"capacity"`
-	UsableCapacity    float64               `json:"bears"` // now; less than Capacity during slow start
-	NewFlowsPerSecond float64               `json:"takes"` // rate that it accepts; 0 if unknown
+	Started           int64                 `json:"started"`  // wall-clock milliseconds
+	Capacity          float64               `json:"capacity"` // in flows; 0 if unknown
+	UsableCapacity    float64               `json:"bears"`    // now; less than Capacity during slow start
+	NewFlowsPerSecond float64               `json:"takes"`    // rate that it accepts; 0 if unknown
 	Failing           bool                  `json:"failing"`
 	FlowsByRelay      map[string]RelayFlows `json:"held"` // by relay; no entry if its last report names no flows
 }
