--- a/internal/canary/forms_test.go
+++ b/internal/canary/forms_test.go
@@ -29,12 +29,12 @@
 	counter.Fill(c.Tally(Stratum{Class: 1, Zone: 2, WarmingUp: true, Load: 3}, true))
 	counter.Fill(c.Tally(Stratum{Class: 1}, false))
 	lines = append(lines, hex.EncodeToString(c.AppendReport(nil, 1400)))
-	w := newSimulation(1, defect{extraFailureRate: 0.05})
+	sim := newSimulation(1, defect{extraFailureRate: 0.05})
 	for range 60 {
-		w.step()
+		sim.step()
 	}
-	w.judge.Verdict(w.now)
-	lines = append(lines, hex.EncodeToString(w.judge.encodeCheckpoint()), fmt.Sprintf("%x", w.trace))
+	sim.judge.Verdict(sim.now)
+	lines = append(lines, hex.EncodeToString(sim.judge.encodeCheckpoint()), fmt.Sprintf("%x", sim.trace))
 	got := strings.Join(lines, "\n") + "\n"
 	want, err := os.ReadFile("testdata/forms.txt")
 	if err != nil {
--- a/internal/canary/simulation_test.go
+++ b/internal/canary/simulation_test.go
@@ -66,8 +66,8 @@
 type simMember struct{ failureFactor, slowness, degradedSeconds float64 }
 
 func newSimulation(seed uint64, f defect) *simulation {
-	w := &simulation{defect: f, rng: rand.New(rand.NewPCG(seed, 77)), now: 1000, state: NewState(), fleetwideFactor: 1}
-	n := []int{3, 3, 5, 8, 12, 12, 20, 40, 40, 80, 300}[w.rng.IntN(11)]
+	sim := &simulation{defect: f, rng: rand.New(rand.NewPCG(seed, 77)), now: 1000, state: NewState(), fleetwideFactor: 1}
+	n := []int{3, 3, 5, 8, 12, 12, 20, 40, 40, 80, 300}[sim.rng.IntN(11)]
 	if f.large {
 		n = 300
 	}
@@ -77,167 +77,167 @@
 	if f.faultyRelays > 0 || f.zone != "" || f.relay != "" {
 		n = max(n, 6)
 	}
-	normal := func(sd float64) float64 { return math.Exp(sd * w.rng.NormFloat64()) }
+	normal := func(sd float64) float64 { return math.Exp(sd * sim.rng.NormFloat64()) }
 	if f.uniform {
 		normal = func(float64) float64 { return 1 }
 	}
-	fails := 0.002 + 0.018*w.rng.Float64()
+	fails := 0.002 + 0.018*sim.rng.Float64()
 	for i := range n {
 		p := &simRelay{name: "n" + strconv.Itoa(i), zone: "z" + strconv.Itoa(i%3), rate: 20 * normal(0.5), failureRate: fails * normal(0.7),
 			setUp: 20 * normal(0.4), message: 5 * normal(0.4), faulty: i < f.faultyRelays, incarnation: 1, resolver: NewWeightResolver(5000)}
 		p.rate = min(p.rate, 100)
-		w.relays = append(w.relays, p)
+		sim.relays = append(sim.relays, p)
 	}
 	for range max(3, n/2) {
-		w.baseline = append(w.baseline, &simMember{normal(0.3), normal(0.1), 0})
+		sim.baseline = append(sim.baseline, &simMember{normal(0.3), normal(0.1), 0})
 	}
 	for range max(3, n/20) { // the mean of few members may differ from the baseline's by chance
-		w.canary = append(w.canary, &simMember{normal(0.3), normal(0.1), 0})
+		sim.canary = append(sim.canary, &simMember{normal(0.3), normal(0.1), 0})
 	}
 	sp := validSpec("r")
-	sp.Salt = w.rng.Uint64() | 1
+	sp.Salt = sim.rng.Uint64() | 1
 	if f.uniform {
 		sp.Steps = []int{100, 500, 1000} // higher weights give more counts in less time
 	}
-	w.apply(Command{Op: OpOpen, Release: "r", Spec: &sp})
-	for _, p := range w.relays {
+	sim.apply(Command{Op: OpOpen, Release: "r", Spec: &sp})
+	for _, p := range sim.relays {
 		p.collector = NewCollector(sp.Salt, p.incarnation)
 	}
-	w.changeLeader()
-	return w
+	sim.changeLeader()
+	return sim
 }
 
 // changeLeader replaces the judge by one that has only the evidence in the record.
-func (w *simulation) changeLeader() {
-	c, _ := w.state.Canary("r")
-	w.judge = NewJudge(JudgeSettings{Spec: c.Spec, Epoch: c.Epoch, Step: c.Step, Checkpoint: w.state.Checkpoint("r")})
+func (sim *simulation) changeLeader() {
+	c, _ := sim.state.Canary("r")
+	sim.judge = NewJudge(JudgeSettings{Spec: c.Spec, Epoch: c.Epoch, Step: c.Step, Checkpoint: sim.state.Checkpoint("r")})
 }
 
-func (w *simulation) apply(cmd Command) {
-	versionBefore := w.state.Version()
-	w.state.Apply(w.now, "pilot", cmd.Encode())
-	if w.state.Version() != versionBefore { // a checkpoint does not change the weights
-		w.log, w.logAt = append(w.log, w.state.Weights()), append(w.logAt, w.now)
+func (sim *simulation) apply(cmd Command) {
+	versionBefore := sim.state.Version()
+	sim.state.Apply(sim.now, "pilot", cmd.Encode())
+	if sim.state.Version() != versionBefore { // a checkpoint does not change the weights
+		sim.log, sim.logAt = append(sim.log, sim.state.Weights()), append(sim.logAt, sim.now)
 	}
-	w.hashTrace(string(w.state.Encode()))
+	sim.hashTrace(string(sim.state.Encode()))
 }
 
-func (w *simulation) hashTrace(values ...any) {
+func (sim *simulation) hashTrace(values ...any) {
 	h := fnv.New64a()
-	fmt.Fprint(h, w.trace, values)
-	w.trace = h.Sum64()
+	fmt.Fprint(h, sim.trace, values)
+	sim.trace = h.Sum64()
 }
 
 // step simulates one second: flows, reports, replication of the record, notices and the leader's commands.
-func (w *simulation) step() (stop bool, err error) {
-	w.now += 1000
-	if w.leaderTermSeconds > 0 && w.now/1000%int64(w.leaderTermSeconds) == 0 {
-		w.changeLeader()
+func (sim *simulation) step() (stop bool, err error) {
+	sim.now += 1000
+	if sim.leaderTermSeconds > 0 && sim.now/1000%int64(sim.leaderTermSeconds) == 0 {
+		sim.changeLeader()
 	}
-	w.fleetwideFactor = math.Max(1, w.fleetwideFactor*0.6)
-	if w.rng.IntN(150) == 0 {
-		w.fleetwideFactor = 6 // failures at all members, of canary and baseline
+	sim.fleetwideFactor = math.Max(1, sim.fleetwideFactor*0.6)
+	if sim.rng.IntN(150) == 0 {
+		sim.fleetwideFactor = 6 // failures at all members, of canary and baseline
 	}
-	for _, m := range append(slices.Clone(w.baseline), w.canary...) {
+	for _, m := range append(slices.Clone(sim.baseline), sim.canary...) {
 		m.degradedSeconds--
-		if !w.uniform && w.rng.IntN(1200) == 0 {
+		if !sim.uniform && sim.rng.IntN(1200) == 0 {
 			m.degradedSeconds = 2
 		}
 	}
-	for _, p := range w.relays {
-		if w.rng.IntN(600) == 0 { // the relay restarts: its counts begin at zero, its record may be older
+	for _, p := range sim.relays {
+		if sim.rng.IntN(600) == 0 { // the relay restarts: its counts begin at zero, its record may be older
 			p.incarnation++
-			p.collector = NewCollector(w.log[0][0].Salt, p.incarnation)
+			p.collector = NewCollector(sim.log[0][0].Salt, p.incarnation)
 			p.resolver = NewWeightResolver(5000)
-			p.applied = 1 + w.rng.IntN(max(p.applied, 1))
-			p.resolver.ApplyRecord(uint64(p.applied), w.log[p.applied-1])
-		} else if w.rng.IntN(20) != 0 {
-			p.resolver.ConfirmRecord(w.now, uint64(len(w.log)))
-			if p.applied < len(w.log) {
-				p.applied = len(w.log)
-				p.resolver.ApplyRecord(uint64(p.applied), w.log[p.applied-1])
+			p.applied = 1 + sim.rng.IntN(max(p.applied, 1))
+			p.resolver.ApplyRecord(uint64(p.applied), sim.log[p.applied-1])
+		} else if sim.rng.IntN(20) != 0 {
+			p.resolver.ConfirmRecord(sim.now, uint64(len(sim.log)))
+			if p.applied < len(sim.log) {
+				p.applied = len(sim.log)
+				p.resolver.ApplyRecord(uint64(p.applied), sim.log[p.applied-1])
 			}
 		}
-		for _, n := range w.relays[w.rng.IntN(len(w.relays))].resolver.Notices() {
+		for _, n := range sim.relays[sim.rng.IntN(len(sim.relays))].resolver.Notices() {
 			p.resolver.HandleNotice(n)
 		}
 		perMille := 0
-		if ws := p.resolver.EffectiveWeights(w.now); len(ws) > 0 {
+		if ws := p.resolver.EffectiveWeights(sim.now); len(ws) > 0 {
 			perMille = ws[0].PerMille
 		}
-		for k := len(w.log) - 1; ; k-- { // the weight must be at most the highest one within the staleness bound
-			if perMille <= w.log[k][0].PerMille {
+		for k := len(sim.log) - 1; ; k-- { // the weight must be at most the highest one within the staleness bound
+			if perMille <= sim.log[k][0].PerMille {
 				break
 			}
-			if k == 0 || w.logAt[k] < w.now-6000 {
+			if k == 0 || sim.logAt[k] < sim.now-6000 {
 				return true, fmt.Errorf("relay %s uses %d per mille, above all weights of the record within the staleness bound", p.name, perMille)
 			}
 		}
-		w.offerFlows(p, perMille)
+		sim.offerFlows(p, perMille)
 		report := p.collector.AppendReport(nil, 1400)
-		for range w.rng.IntN(20) / 19 * 2 { // sometimes the previous report arrives again, twice
+		for range sim.rng.IntN(20) / 19 * 2 { // sometimes the previous report arrives again, twice
 			if p.oldReport != nil {
 				c, _ := DecodeCountReport(p.oldReport)
-				w.judge.Observe(w.now, p.name, p.zone, c)
+				sim.judge.Observe(sim.now, p.name, p.zone, c)
 			}
 		}
-		if w.rng.IntN(20) != 0 {
+		if sim.rng.IntN(20) != 0 {
 			c, err := DecodeCountReport(report)
 			if err != nil {
 				return true, err
 			}
-			w.judge.Observe(w.now, p.name, p.zone, c)
+			sim.judge.Observe(sim.now, p.name, p.zone, c)
 			p.oldReport = report
 		}
 	}
-	v := w.judge.Verdict(w.now)
-	w.last = v
-	w.hashTrace(math.Float64bits(v.LogEValue), v.Outcome, v.Zones, v.Relays, v.Faulty)
-	if z := w.zTest.excess / math.Sqrt(w.zTest.variance); w.repeatedZTest && z > 2.326 {
+	v := sim.judge.Verdict(sim.now)
+	sim.last = v
+	sim.hashTrace(math.Float64bits(v.LogEValue), v.Outcome, v.Zones, v.Relays, v.Faulty)
+	if z := sim.zTest.excess / math.Sqrt(sim.zTest.variance); sim.repeatedZTest && z > 2.326 {
 		v.Outcome = Regressed
 	}
-	c, _ := w.state.Canary("r")
+	c, _ := sim.state.Canary("r")
 	applied := true
-	for _, p := range w.relays {
-		applied = applied && p.applied == len(w.log)
+	for _, p := range sim.relays {
+		applied = applied && p.applied == len(sim.log)
 	}
-	for _, cmd := range w.state.Plan(w.now, v, applied) {
-		w.apply(cmd)
-		after, _ := w.state.Canary("r")
+	for _, cmd := range sim.state.Plan(sim.now, v, applied) {
+		sim.apply(cmd)
+		after, _ := sim.state.Canary("r")
 		if after.Epoch != c.Epoch || after.Step != c.Step {
-			w.judge.BeginStep(after.Epoch, after.Step)
-			w.zTest.excess, w.zTest.variance = 0, 0
+			sim.judge.BeginStep(after.Epoch, after.Step)
+			sim.zTest.excess, sim.zTest.variance = 0, 0
 		}
 		c = after
 	}
 	return c.Status != Progressing, nil
 }
 
-func (w *simulation) offerFlows(p *simRelay, perMille int) {
-	warmingUp := w.now < 61_000
+func (sim *simulation) offerFlows(p *simRelay, perMille int) {
+	warmingUp := sim.now < 61_000
 	for class, share := range []float64{0.7, 0.3} {
-		n := int(p.rate*share) + map[bool]int{true: 1}[w.rng.Float64() < p.rate*share-math.Floor(p.rate*share)]
+		n := int(p.rate*share) + map[bool]int{true: 1}[sim.rng.Float64() < p.rate*share-math.Floor(p.rate*share)]
 		var tried, bad [2][2]float64 // by warming up (0 or 1), then by baseline and canary
 		for range n {
-			toCanary := RoutedToCanary(w.log[0][0].Salt, w.rng.Uint64(), perMille)
+			toCanary := RoutedToCanary(sim.log[0][0].Salt, sim.rng.Uint64(), perMille)
 			var m *simMember
 			s := Stratum{Class: uint8(class), Load: 1}
 			if toCanary {
-				m, s.WarmingUp = w.canary[w.rng.IntN(len(w.canary))], warmingUp
+				m, s.WarmingUp = sim.canary[sim.rng.IntN(len(sim.canary))], warmingUp
 			} else {
-				m, s.WarmingUp = w.baseline[w.rng.IntN(len(w.baseline))], w.rng.IntN(50) == 0 // some baseline members are warming up too
+				m, s.WarmingUp = sim.baseline[sim.rng.IntN(len(sim.baseline))], sim.rng.IntN(50) == 0 // some baseline members are warming up too
 			}
-			if w.rng.IntN(5) == 0 {
-				s.Zone = uint8(w.rng.IntN(3))
+			if sim.rng.IntN(5) == 0 {
+				s.Zone = uint8(sim.rng.IntN(3))
 			}
-			fails, slow, early := p.failureRate*m.failureFactor*w.fleetwideFactor*float64(1+class), m.slowness, 0.003
+			fails, slow, early := p.failureRate*m.failureFactor*sim.fleetwideFactor*float64(1+class), m.slowness, 0.003
 			if s.WarmingUp {
 				fails, slow = 2*fails, 3*slow
 			}
-			if toCanary && (w.zone == "" || w.zone == p.zone) && (w.relay == "" || w.relay == p.name) {
-				fails, early = fails+w.extraFailureRate, early+w.earlyDisconnectRate
-				if w.slowdown != 0 {
-					slow *= w.slowdown
+			if toCanary && (sim.zone == "" || sim.zone == p.zone) && (sim.relay == "" || sim.relay == p.name) {
+				fails, early = fails+sim.extraFailureRate, early+sim.earlyDisconnectRate
+				if sim.slowdown != 0 {
+					slow *= sim.slowdown
 				}
 			}
 			if p.faulty {
@@ -248,7 +248,7 @@
 			}
 			t := p.collector.Tally(s, toCanary)
 			t.Attempts++
-			u := w.rng.Float64()
+			u := sim.rng.Float64()
 			tried[boolToInt(s.WarmingUp)][boolToInt(toCanary)]++
 			bad[boolToInt(s.WarmingUp)][boolToInt(toCanary)] += float64(boolToInt(u < fails))
 			switch {
@@ -259,18 +259,18 @@
 			case u < fails:
 				t.TimedOut++
 			default:
-				t.SetupTime.Add(p.setUp * slow * math.Exp(0.6*w.rng.NormFloat64()))
-				t.MessageTime.Add(p.message * slow * math.Exp(0.6*w.rng.NormFloat64()))
-				if t.OpenSeconds += 60; w.rng.Float64() < early {
-					t.OpenSeconds -= uint64(w.rng.IntN(60))
+				t.SetupTime.Add(p.setUp * slow * math.Exp(0.6*sim.rng.NormFloat64()))
+				t.MessageTime.Add(p.message * slow * math.Exp(0.6*sim.rng.NormFloat64()))
+				if t.OpenSeconds += 60; sim.rng.Float64() < early {
+					t.OpenSeconds -= uint64(sim.rng.IntN(60))
 					t.EarlyDisconnects++
 				}
 			}
 		}
 		for i, attempts := range tried {
 			if n, k, n1 := attempts[0]+attempts[1], bad[i][0]+bad[i][1], attempts[1]; n > 1 {
-				w.zTest.excess += bad[i][1] - k*n1/n
-				w.zTest.variance += k * (n - k) * n1 * attempts[0] / (n * n * (n - 1))
+				sim.zTest.excess += bad[i][1] - k*n1/n
+				sim.zTest.variance += k * (n - k) * n1 * attempts[0] / (n * n * (n - 1))
 			}
 		}
 	}
@@ -290,29 +290,29 @@
 }
 
 func simulate(seed uint64, f defect) runResult {
-	w := newSimulation(seed, f)
-	o := runResult{relays: len(w.relays)}
+	sim := newSimulation(seed, f)
+	o := runResult{relays: len(sim.relays)}
 	if f.seconds == 0 {
 		f.seconds = 80_000 // five steps of MaxStepMS each, with a margin
 	}
 	for range f.seconds {
-		before, _ := w.state.Canary("r")
+		before, _ := sim.state.Canary("r")
 		o.finalPerMille = before.PerMille
-		stop, err := w.step()
+		stop, err := sim.step()
 		if o.err = err; stop {
 			break
 		}
-		for _, faulty := range w.last.Faulty {
+		for _, faulty := range sim.last.Faulty {
 			if !slices.Contains(o.faulty, faulty) && !slices.ContainsFunc(o.faulty, func(k FaultyRelay) bool { return k.Relay == faulty.Relay }) {
 				o.faulty = append(o.faulty, faulty)
 			}
 		}
 	}
-	o.Canary, _ = w.state.Canary("r")
-	o.verdict = w.last
-	o.seconds, o.trace = int(w.now/1000), w.trace
+	o.Canary, _ = sim.state.Canary("r")
+	o.verdict = sim.last
+	o.seconds, o.trace = int(sim.now/1000), sim.trace
 	for _, faulty := range o.faulty {
-		if !slices.ContainsFunc(w.relays, func(p *simRelay) bool { return p.name == faulty.Relay && p.faulty }) {
+		if !slices.ContainsFunc(sim.relays, func(p *simRelay) bool { return p.name == faulty.Relay && p.faulty }) {
 			o.falselyFaulty++
 		}
 	}
@@ -333,18 +333,18 @@
 	}
 	list := make([]runResult, n)
 	var wg sync.WaitGroup
-	turn := make(chan int)
+	indexes := make(chan int)
 	for range runtime.GOMAXPROCS(0) {
 		wg.Go(func() {
-			for i := range turn {
+			for i := range indexes {
 				list[i] = simulate(uint64(firstSeed()+skip+i), f)
 			}
 		})
 	}
 	for i := range n {
-		turn <- i
+		indexes <- i
 	}
-	close(turn)
+	close(indexes)
 	wg.Wait()
 	return list
 }
@@ -516,17 +516,17 @@
 // TestCheckpoint checks that a checkpoint restores the evidence, rounded down, that the reports which it
 // covers do not count again, and that a truncated checkpoint is ignored.
 func TestCheckpoint(t *testing.T) {
-	w := newSimulation(1, defect{extraFailureRate: 0.05})
+	sim := newSimulation(1, defect{extraFailureRate: 0.05})
 	for range 60 {
-		w.step()
+		sim.step()
 	}
-	w.now += 1000
-	w.judge.Verdict(w.now) // adds all reported counts to the evidence
-	settings := w.judge.settings
-	settings.Checkpoint = w.judge.encodeCheckpoint()
+	sim.now += 1000
+	sim.judge.Verdict(sim.now) // adds all reported counts to the evidence
+	settings := sim.judge.settings
+	settings.Checkpoint = sim.judge.encodeCheckpoint()
 	next, withoutSeqs := NewJudge(settings), NewJudge(settings)
 	for k := range next.tests {
-		if got, want := next.guardEvidence(k), w.judge.guardEvidence(k); !(got <= want && got >= want-1.0/evidenceResolution) {
+		if got, want := next.guardEvidence(k), sim.judge.guardEvidence(k); !(got <= want && got >= want-1.0/evidenceResolution) {
 			t.Errorf("guardrail %d: evidence after restore = %v, want at most %v and at most 1/%d below that", k, got, want, evidenceResolution)
 		}
 	}
@@ -534,7 +534,7 @@
 		r.seq = 0 // planted defect: the judge forgets which reports the evidence covers
 	}
 	for _, j := range []*Judge{next, withoutSeqs} { // a covered report arrives late, as if from the start of the step, then the current one
-		for _, p := range w.relays {
+		for _, p := range sim.relays {
 			current, _ := DecodeCountReport(p.collector.AppendReport(nil, 1400))
 			late := current
 			late.Seq, late.Strata = 1, slices.Clone(current.Strata)
@@ -549,8 +549,8 @@
 		}
 		j.Verdict(5000)
 	}
-	if next.compared != w.judge.compared || withoutSeqs.compared <= next.compared {
-		t.Errorf("Compared: %d before, %d after restore, %d if covered reports count again; want the first two equal and the third higher", w.judge.compared, next.compared, withoutSeqs.compared)
+	if next.compared != sim.judge.compared || withoutSeqs.compared <= next.compared {
+		t.Errorf("Compared: %d before, %d after restore, %d if covered reports count again; want the first two equal and the third higher", sim.judge.compared, next.compared, withoutSeqs.compared)
 	}
 	for length := range settings.Checkpoint {
 		truncated := settings
--- a/internal/drift/codec_test.go
+++ b/internal/drift/codec_test.go
@@ -22,11 +22,11 @@
 		for i := range n {
 			name := fmt.Sprintf("g%d.%d", i%rapid.IntRange(1, MaxGroups).Draw(t, "groups"), i)
 			name += strings.Repeat("x", max(0, minNameBytes-len(name)))
-			it := Item{name, rapid.Uint64().Draw(t, "version"), 1 << 63}
+			item := Item{name, rapid.Uint64().Draw(t, "version"), 1 << 63}
 			if i%3 == 0 {
-				accepted[name] = reporter.RecordRejected(-1<<62, it, strings.Repeat("ä\n", 30), strings.Repeat("why\x00", 50))
+				accepted[name] = reporter.RecordRejected(-1<<62, item, strings.Repeat("ä\n", 30), strings.Repeat("why\x00", 50))
 			} else {
-				accepted[name] = reporter.RecordApplied(-1<<62, it, "record")
+				accepted[name] = reporter.RecordApplied(-1<<62, item, "record")
 			}
 			reporter.CountActivity(name, KindRemovedMember, 1<<63, 1<<62)
 		}
@@ -113,8 +113,8 @@
 func TestDigestGroups(t *testing.T) {
 	reporter, monitor := NewReporter("n1", 1), NewMonitor(Settings{})
 	items := []Item{{"config", 1, 2}, {"config-x", 3, 4}, {"config.a", 5, 6}}
-	for _, it := range items {
-		reporter.RecordApplied(1, it, "")
+	for _, item := range items {
+		reporter.RecordApplied(1, item, "")
 	}
 	if g := reporter.NextReport(1).Groups; len(g) != 2 {
 		t.Fatalf("report has groups %v, want 2 groups", g)
--- a/internal/drift/forms_test.go
+++ b/internal/drift/forms_test.go
@@ -37,10 +37,10 @@
 	var reply Reply
 	counter.Fill(&reply)
 	lines = append(lines, hex.EncodeToString(report.Encode()), hex.EncodeToString(reply.Encode()), fmt.Sprintf("%x", DigestOf(report.Items)))
-	w := newSimulation(7, 12, 24)
-	w.plant(w.relays[3], ItemEjections, Lagging, false)
-	w.disturb(120_000)
-	lines = append(lines, fmt.Sprintf("%d bytes, %x", w.bytes, w.trace))
+	sim := newSimulation(7, 12, 24)
+	sim.plant(sim.relays[3], ItemEjections, Lagging, false)
+	sim.disturb(120_000)
+	lines = append(lines, fmt.Sprintf("%d bytes, %x", sim.bytes, sim.trace))
 	got := strings.Join(lines, "\n") + "\n"
 	want, err := os.ReadFile("testdata/forms.txt")
 	if err != nil {
--- a/internal/drift/monitor_test.go
+++ b/internal/drift/monitor_test.go
@@ -170,8 +170,8 @@
 	monitor, reporters, now := NewMonitor(Settings{}), []*Reporter{}, int64(1_000_000)
 	for i := range n {
 		reporter := NewReporter(fmt.Sprintf("n%d", i), 1)
-		for _, it := range items {
-			reporter.RecordApplied(now, it, "record")
+		for _, item := range items {
+			reporter.RecordApplied(now, item, "record")
 		}
 		reporter.CountActivity(ItemEjections, KindRemovedMember, 0, 0)
 		reporters = append(reporters, reporter)
@@ -336,13 +336,13 @@
 		for _, n := range []int{3, 40} {
 			findings, agreed, first := 0, 0, ""
 			for seed := range seedsToRun(2) {
-				w := newSimulation(seed, n, 8)
-				w.propagation = pace.apply
-				w.warmUp(120_000)
-				for _, it := range w.agreed {
-					agreed += n * int(it.Version-1)
+				sim := newSimulation(seed, n, 8)
+				sim.propagation = pace.apply
+				sim.warmUp(120_000)
+				for _, item := range sim.agreed {
+					agreed += n * int(item.Version-1)
 				}
-				for _, c := range w.monitor.History() {
+				for _, c := range sim.monitor.History() {
 					if c.To >= Lagging && c.To != Unknown {
 						findings++
 						first = cmp.Or(first, fmt.Sprintf("seed %d: %+v", seed, c))
--- a/internal/drift/planted_test.go
+++ b/internal/drift/planted_test.go
@@ -8,60 +8,60 @@
 )
 
 // plant makes a relay drift on an item. With restart, a Regressed relay restarts with its old state.
-func (w *simulation) plant(s *simRelay, item string, kind State, restart bool) {
+func (sim *simulation) plant(s *simRelay, item string, kind State, restart bool) {
 	key := s.name + " " + item
-	w.planted[key] = kind
-	cur := w.agreed[item]
+	sim.planted[key] = kind
+	cur := sim.agreed[item]
 	switch kind {
 	case Lagging:
 		s.ignores[item] = true
-		w.commit(item)
+		sim.commit(item)
 	case Rejected:
 		s.rejects[item] = true
-		w.commit(item)
+		sim.commit(item)
 	case Regressed:
 		s.ignores[item] = true
 		s.running[item] = Item{item, cur.Version - 1, 5}
 		if restart { // with the old version in its directory
-			w.restart(s, 1000, false)
+			sim.restart(s, 1000, false)
 			return
 		}
-		s.reporter.RecordApplied(s.clock(w.now), s.running[item], "file")
-		w.driftSince[key] = w.now
+		s.reporter.RecordApplied(s.clock(sim.now), s.running[item], "file")
+		sim.driftSince[key] = sim.now
 	case Ahead:
 		s.ignores[item] = true
 		s.running[item] = Item{item, cur.Version + 3, 6}
-		s.reporter.RecordApplied(s.clock(w.now), s.running[item], "record")
+		s.reporter.RecordApplied(s.clock(sim.now), s.running[item], "record")
 	case Overridden:
 		s.ignores[item] = true
-		s.reporter.RecordOverride(s.clock(w.now), cur, "PUT /-/members/m1/disable")
-		w.driftSince[key] = w.now
+		s.reporter.RecordOverride(s.clock(sim.now), cur, "PUT /-/members/m1/disable")
+		sim.driftSince[key] = sim.now
 	case Contradicting:
 		s.violates[item] = true
-		w.driftSince[key] = w.now
+		sim.driftSince[key] = sim.now
 	}
 }
 
 // repairAll ends all planted drift.
-func (w *simulation) repairAll() {
-	for _, s := range w.relays {
+func (sim *simulation) repairAll() {
+	for _, s := range sim.relays {
 		clear(s.ignores)
 		clear(s.rejects)
 		clear(s.violates)
-		for _, it := range s.reporter.items {
-			if it.LocalOverride || it.RejectedVersion > 0 || s.running[it.Name].Version > w.agreed[it.Name].Version {
-				s.running[it.Name] = w.agreed[it.Name]
-				s.reporter.RecordApplied(s.clock(w.now), w.agreed[it.Name], "record")
+		for _, item := range s.reporter.items {
+			if item.LocalOverride || item.RejectedVersion > 0 || s.running[item.Name].Version > sim.agreed[item.Name].Version {
+				s.running[item.Name] = sim.agreed[item.Name]
+				s.reporter.RecordApplied(s.clock(sim.now), sim.agreed[item.Name], "record")
 			}
 		}
 	}
 }
 
 // warmUp commits changes for some time, from which the monitor learns how long propagation takes.
-func (w *simulation) warmUp(ms int64) {
-	for end := w.now + ms; w.now < end; {
-		w.commit(w.itemNames[w.rng.IntN(len(w.itemNames))])
-		w.advance(3000 + w.rng.Int64N(4000))
+func (sim *simulation) warmUp(ms int64) {
+	for end := sim.now + ms; sim.now < end; {
+		sim.commit(sim.itemNames[sim.rng.IntN(len(sim.itemNames))])
+		sim.advance(3000 + sim.rng.Int64N(4000))
 	}
 }
 
@@ -72,8 +72,8 @@
 	took := map[string][]int64{}
 	var all []int64
 	for seed := range seedsToRun(7) {
-		w := newSimulation(seed, 40, 16)
-		w.warmUp(150_000)
+		sim := newSimulation(seed, 40, 16)
+		sim.warmUp(150_000)
 		kinds := map[string]State{}
 		for i, p := range []struct {
 			item    string
@@ -82,35 +82,35 @@
 		}{{ItemEndpointList, Lagging, false}, {"config.section1", Rejected, false}, {ItemCanaryWeights, Regressed, false}, {ItemVoters, Regressed, true}, {ItemPermits, Ahead, false},
 			{ItemDrains, Overridden, false}, {ItemEjections, Contradicting, false}, {ItemEjections, Regressed, false}} {
 			for k := range 2 {
-				w.plant(w.relays[5*i+k], p.item, p.kind, p.restart)
-				kinds[w.relays[5*i+k].name+" "+p.item] = p.kind
-				w.advance(1700)
+				sim.plant(sim.relays[5*i+k], p.item, p.kind, p.restart)
+				kinds[sim.relays[5*i+k].name+" "+p.item] = p.kind
+				sim.advance(1700)
 			}
 		}
-		w.advance(90_000)
+		sim.advance(90_000)
 		for key, kind := range kinds {
-			if w.found[key] == 0 || w.driftSince[key] == 0 {
-				t.Fatalf("seed %d: %s, planted %v: counts as drift at %d, found at %d, want both above 0", seed, key, kind, w.driftSince[key], w.found[key])
+			if sim.found[key] == 0 || sim.driftSince[key] == 0 {
+				t.Fatalf("seed %d: %s, planted %v: counts as drift at %d, found at %d, want both above 0", seed, key, kind, sim.driftSince[key], sim.found[key])
 			}
-			took[kind.String()] = append(took[kind.String()], w.found[key]-w.driftSince[key])
-			all = append(all, w.found[key]-w.driftSince[key])
+			took[kind.String()] = append(took[kind.String()], sim.found[key]-sim.driftSince[key])
+			all = append(all, sim.found[key]-sim.driftSince[key])
 		}
-		if len(w.falseFindings) > 0 {
-			t.Fatalf("seed %d: found drift that was not planted: %s", seed, w.falseFindings[0])
+		if len(sim.falseFindings) > 0 {
+			t.Fatalf("seed %d: found drift that was not planted: %s", seed, sim.falseFindings[0])
 		}
-		names := make([]string, len(w.relays))
-		for i, s := range w.relays {
+		names := make([]string, len(sim.relays))
+		for i, s := range sim.relays {
 			names[i] = s.name
 		}
-		if reason, _ := w.monitor.BlockReason(names, nil); !strings.Contains(reason, "and 13 more") {
+		if reason, _ := sim.monitor.BlockReason(names, nil); !strings.Contains(reason, "and 13 more") {
 			t.Fatalf("seed %d: BlockReason = %q, want a text with \"and 13 more\"", seed, reason)
 		}
-		if unfit := w.monitor.SelectUnfit(4, nil, nil); len(unfit) != 4 {
+		if unfit := sim.monitor.SelectUnfit(4, nil, nil); len(unfit) != 4 {
 			t.Fatalf("seed %d: SelectUnfit = %v, want 4 relays", seed, unfit)
 		}
-		w.repairAll()
-		w.advance(60_000)
-		if findings := w.monitor.Findings(); len(findings) > 0 {
+		sim.repairAll()
+		sim.advance(60_000)
+		if findings := sim.monitor.Findings(); len(findings) > 0 {
 			t.Fatalf("seed %d: finding 60 s after the repair: %+v", seed, findings[0])
 		}
 	}
@@ -130,10 +130,10 @@
 func TestReplay(t *testing.T) {
 	var previous string
 	for range 2 {
-		w := newSimulation(7, 12, 24)
-		w.plant(w.relays[3], ItemEjections, Lagging, false)
-		w.disturb(120_000)
-		current := fmt.Sprintf("%d %x %+v %v", w.bytes, w.trace, w.monitor.Findings(), w.monitor.History())
+		sim := newSimulation(7, 12, 24)
+		sim.plant(sim.relays[3], ItemEjections, Lagging, false)
+		sim.disturb(120_000)
+		current := fmt.Sprintf("%d %x %+v %v", sim.bytes, sim.trace, sim.monitor.Findings(), sim.monitor.History())
 		if previous != "" && previous != current {
 			t.Fatalf("two simulations with the same seed differ:\n%s\n%s", previous, current)
 		}
@@ -147,32 +147,32 @@
 	for _, d := range []struct {
 		name   string
 		defect defect
-		run    func(w *simulation)
+		run    func(sim *simulation)
 	}{
-		{"fixed lag bound with slow propagation", fixedBound, func(w *simulation) {
-			w.propagation = func(*rng) int64 { return 3000 + w.rng.Int64N(9000) }
-			w.warmUp(120_000)
+		{"fixed lag bound with slow propagation", fixedBound, func(sim *simulation) {
+			sim.propagation = func(*rng) int64 { return 3000 + sim.rng.Int64N(9000) }
+			sim.warmUp(120_000)
 		}},
-		{"no grace for attempts in flight", noGrace, func(w *simulation) {
+		{"no grace for attempts in flight", noGrace, func(sim *simulation) {
 			for range 10 {
-				w.commit(ItemEjections)
-				w.advance(10_000)
+				sim.commit(ItemEjections)
+				sim.advance(10_000)
 			}
 		}},
-		{"partition counted as drift", partitionIsDrift, func(w *simulation) {
-			w.warmUp(120_000)
-			for _, s := range w.relays[:4] {
-				s.partitionedUntil = w.now + 30_000
+		{"partition counted as drift", partitionIsDrift, func(sim *simulation) {
+			sim.warmUp(120_000)
+			for _, s := range sim.relays[:4] {
+				s.partitionedUntil = sim.now + 30_000
 			}
-			w.warmUp(60_000)
+			sim.warmUp(60_000)
 		}},
 	} {
 		for _, f := range []defect{noDefect, d.defect} {
-			w := newSimulation(3, 12, 12)
-			w.monitor.defect = f
-			d.run(w)
-			if found := len(w.falseFindings) > 0; found != (f != noDefect) {
-				t.Errorf("%s: defect injected: %v, false findings: %v, want the same; first: %v", d.name, f != noDefect, found, w.falseFindings[:min(len(w.falseFindings), 1)])
+			sim := newSimulation(3, 12, 12)
+			sim.monitor.defect = f
+			d.run(sim)
+			if found := len(sim.falseFindings) > 0; found != (f != noDefect) {
+				t.Errorf("%s: defect injected: %v, false findings: %v, want the same; first: %v", d.name, f != noDefect, found, sim.falseFindings[:min(len(sim.falseFindings), 1)])
 			}
 		}
 	}
@@ -183,12 +183,12 @@
 func TestReportBytes(t *testing.T) {
 	var least, most float64
 	for _, n := range []int{10, 40, 300} {
-		w := newSimulation(1, n, 64)
-		w.warmUp(15_000)
-		from, bytes := w.now, w.bytes
-		w.warmUp(30_000)
-		rate := float64(w.bytes-bytes) / float64(n) / (float64(w.now-from) / 1000)
-		t.Logf("%d relays: %.0f bytes/s per relay, longest report %d bytes", n, rate, w.longestReport)
+		sim := newSimulation(1, n, 64)
+		sim.warmUp(15_000)
+		from, bytes := sim.now, sim.bytes
+		sim.warmUp(30_000)
+		rate := float64(sim.bytes-bytes) / float64(n) / (float64(sim.now-from) / 1000)
+		t.Logf("%d relays: %.0f bytes/s per relay, longest report %d bytes", n, rate, sim.longestReport)
 		if least == 0 {
 			least = rate
 		}
@@ -203,24 +203,24 @@
 // restart, stop and are partitioned and the leader changes.
 func TestPlantedAmongFaults(t *testing.T) {
 	for seed := range seedsToRun(3) {
-		w := newSimulation(seed, 30, 12)
-		w.warmUp(60_000)
+		sim := newSimulation(seed, 30, 12)
+		sim.warmUp(60_000)
 		for i, p := range []struct {
 			item string
 			kind State
 		}{{ItemEndpointList, Lagging}, {ItemCanaryWeights, Ahead}, {ItemEjections, Contradicting}, {ItemDrains, Overridden}} {
-			w.relays[i].undisturbed = true
-			w.plant(w.relays[i], p.item, p.kind, false)
+			sim.relays[i].undisturbed = true
+			sim.plant(sim.relays[i], p.item, p.kind, false)
 		}
-		w.disturb(180_000)
-		w.advance(60_000)
-		for key, kind := range w.planted {
-			if w.found[key] == 0 {
+		sim.disturb(180_000)
+		sim.advance(60_000)
+		for key, kind := range sim.planted {
+			if sim.found[key] == 0 {
 				t.Errorf("seed %d: planted drift not found: %s, %v", seed, key, kind)
 			}
 		}
-		if len(w.falseFindings) > 0 {
-			t.Errorf("seed %d: found drift that was not planted: %s", seed, w.falseFindings[0])
+		if len(sim.falseFindings) > 0 {
+			t.Errorf("seed %d: found drift that was not planted: %s", seed, sim.falseFindings[0])
 		}
 	}
 }
--- a/internal/drift/simulation_test.go
+++ b/internal/drift/simulation_test.go
@@ -61,47 +61,47 @@
 const tickMs = 100
 
 func newSimulation(seed uint64, n, items int) *simulation {
-	w := &simulation{now: 1_100_000_000_000, rng: rand.New(rand.NewPCG(seed, 31)), agreed: map[string]Item{}, events: map[int64][]func(){}, loss: 0.05, delay: 200,
+	sim := &simulation{now: 1_100_000_000_000, rng: rand.New(rand.NewPCG(seed, 31)), agreed: map[string]Item{}, events: map[int64][]func(){}, loss: 0.05, delay: 200,
 		planted: map[string]State{}, found: map[string]int64{}, driftSince: map[string]int64{}}
-	w.propagation = func(r *rng) int64 { return 20 + int64(r.ExpFloat64()*150) }
-	w.itemNames = []string{ItemProgram, ItemEndpointList, ItemEjections, ItemDrains, ItemCanaryWeights, ItemVoters, ItemPermits}
-	for i := 0; len(w.itemNames) < items; i++ {
-		w.itemNames = append(w.itemNames, fmt.Sprintf("config.section%d", i))
+	sim.propagation = func(r *rng) int64 { return 20 + int64(r.ExpFloat64()*150) }
+	sim.itemNames = []string{ItemProgram, ItemEndpointList, ItemEjections, ItemDrains, ItemCanaryWeights, ItemVoters, ItemPermits}
+	for i := 0; len(sim.itemNames) < items; i++ {
+		sim.itemNames = append(sim.itemNames, fmt.Sprintf("config.section%d", i))
 	}
-	for _, name := range w.itemNames {
-		w.agreed[name] = Item{name, 1, w.rng.Uint64()}
+	for _, name := range sim.itemNames {
+		sim.agreed[name] = Item{name, 1, sim.rng.Uint64()}
 	}
 	for i := range n {
-		s := &simRelay{index: i, name: fmt.Sprintf("relay-%d", i), reportPhase: w.rng.Int64N(1000) / tickMs * tickMs, clockSkew: w.rng.Int64N(20000) - 10000, running: map[string]Item{},
+		s := &simRelay{index: i, name: fmt.Sprintf("relay-%d", i), reportPhase: sim.rng.Int64N(1000) / tickMs * tickMs, clockSkew: sim.rng.Int64N(20000) - 10000, running: map[string]Item{},
 			ignores: map[string]bool{}, rejects: map[string]bool{}, violates: map[string]bool{}}
-		for name, it := range w.agreed {
-			s.running[name] = it
+		for name, item := range sim.agreed {
+			s.running[name] = item
 		}
-		w.relays = append(w.relays, s)
-		w.start(s)
+		sim.relays = append(sim.relays, s)
+		sim.start(s)
 	}
-	w.changeLeader()
-	return w
+	sim.changeLeader()
+	return sim
 }
 
 // changeLeader replaces the Monitor by a new one that knows only what is agreed.
-func (w *simulation) changeLeader() {
+func (sim *simulation) changeLeader() {
 	injected := noDefect
-	if w.monitor != nil {
-		injected = w.monitor.defect
+	if sim.monitor != nil {
+		injected = sim.monitor.defect
 	}
-	w.monitor = NewMonitor(w.settings)
-	w.monitor.defect = injected
-	w.setIntents()
+	sim.monitor = NewMonitor(sim.settings)
+	sim.monitor.defect = injected
+	sim.setIntents()
 }
 
-func (w *simulation) setIntents() {
+func (sim *simulation) setIntents() {
 	var items []Item
-	for _, name := range w.itemNames {
-		items = append(items, w.agreed[name])
+	for _, name := range sim.itemNames {
+		items = append(items, sim.agreed[name])
 	}
-	for _, s := range w.relays {
-		w.monitor.SetIntent(w.now, s.name, items)
+	for _, s := range sim.relays {
+		sim.monitor.SetIntent(sim.now, s.name, items)
 	}
 }
 
@@ -109,103 +109,103 @@
 
 // start starts a new process of a relay with the versions that the relay runs, which may be old, and
 // delivers the newer ones.
-func (w *simulation) start(s *simRelay) {
+func (sim *simulation) start(s *simRelay) {
 	s.incarnation++
 	s.up, s.stoppedUntil = true, 0
 	s.reporter = NewReporter(s.name, s.incarnation<<20)
 	s.progressing, s.received = map[string]bool{}, map[string]Item{}
-	for _, name := range w.itemNames {
-		if it, ok := s.running[name]; ok {
-			s.reporter.RecordApplied(s.clock(w.now), it, "directory")
+	for _, name := range sim.itemNames {
+		if item, ok := s.running[name]; ok {
+			s.reporter.RecordApplied(s.clock(sim.now), item, "directory")
 		}
 	}
 	s.reporter.CountActivity(ItemEjections, KindRemovedMember, 0, 0)
-	w.catchUp(s)
+	sim.catchUp(s)
 }
 
-func (w *simulation) catchUp(s *simRelay) {
-	for _, name := range w.itemNames {
-		if s.running[name] != w.agreed[name] {
-			w.deliver(s, w.agreed[name])
+func (sim *simulation) catchUp(s *simRelay) {
+	for _, name := range sim.itemNames {
+		if s.running[name] != sim.agreed[name] {
+			sim.deliver(s, sim.agreed[name])
 		}
 	}
 }
 
-func (w *simulation) schedule(dueAt int64, event func()) {
-	dueAt = max((dueAt+tickMs-1)/tickMs*tickMs, w.now+tickMs)
-	w.events[dueAt] = append(w.events[dueAt], event)
+func (sim *simulation) schedule(dueAt int64, event func()) {
+	dueAt = max((dueAt+tickMs-1)/tickMs*tickMs, sim.now+tickMs)
+	sim.events[dueAt] = append(sim.events[dueAt], event)
 }
 
 // deliver sends a change to a relay, which applies it after the propagation time.
-func (w *simulation) deliver(s *simRelay, it Item) {
-	incarnation, delay := s.incarnation, w.propagation(w.rng)
+func (sim *simulation) deliver(s *simRelay, item Item) {
+	incarnation, delay := s.incarnation, sim.propagation(sim.rng)
 	if s.slowDisk {
 		delay += 40_000
-		s.progressing[it.Name] = true
+		s.progressing[item.Name] = true
 	}
-	w.schedule(w.now+delay, func() { w.applyItem(s, incarnation, it) })
+	sim.schedule(sim.now+delay, func() { sim.applyItem(s, incarnation, item) })
 }
 
 // applyItem applies a change at a relay, unless the relay cannot or already runs the same or a newer
 // agreed version.
-func (w *simulation) applyItem(s *simRelay, incarnation uint64, it Item) {
+func (sim *simulation) applyItem(s *simRelay, incarnation uint64, item Item) {
 	switch {
-	case !s.up || s.incarnation != incarnation || s.ignores[it.Name] || w.now < s.partitionedUntil || s.running[it.Name].Version >= it.Version && s.running[it.Name] == it:
-	case w.now < s.stoppedUntil:
-		w.schedule(s.stoppedUntil, func() { w.applyItem(s, incarnation, it) })
-	case s.running[it.Name].Version > it.Version && s.running[it.Name].Version <= w.agreed[it.Name].Version:
-	case s.rejects[it.Name]:
-		s.reporter.RecordRejected(s.clock(w.now), it, "record", "no such key")
-		if key := s.name + " " + it.Name; w.driftSince[key] == 0 {
-			w.driftSince[key] = w.now
+	case !s.up || s.incarnation != incarnation || s.ignores[item.Name] || sim.now < s.partitionedUntil || s.running[item.Name].Version >= item.Version && s.running[item.Name] == item:
+	case sim.now < s.stoppedUntil:
+		sim.schedule(s.stoppedUntil, func() { sim.applyItem(s, incarnation, item) })
+	case s.running[item.Name].Version > item.Version && s.running[item.Name].Version <= sim.agreed[item.Name].Version:
+	case s.rejects[item.Name]:
+		s.reporter.RecordRejected(s.clock(sim.now), item, "record", "no such key")
+		if key := s.name + " " + item.Name; sim.driftSince[key] == 0 {
+			sim.driftSince[key] = sim.now
 		}
 	default:
-		if it == w.agreed[it.Name] {
-			delete(s.progressing, it.Name)
+		if item == sim.agreed[item.Name] {
+			delete(s.progressing, item.Name)
 		}
-		s.running[it.Name] = it
-		s.reporter.RecordApplied(s.clock(w.now), it, "record")
-		if it.Name == ItemEjections {
-			s.inFlightUntil = w.now + 4000
+		s.running[item.Name] = item
+		s.reporter.RecordApplied(s.clock(sim.now), item, "record")
+		if item.Name == ItemEjections {
+			s.inFlightUntil = sim.now + 4000
 		}
 	}
 }
 
 // commit agrees on a new version of an item.
-func (w *simulation) commit(name string) {
-	w.agreed[name] = Item{name, w.agreed[name].Version + 1, w.rng.Uint64()}
-	w.setIntents()
-	for _, s := range w.relays {
-		w.deliver(s, w.agreed[name])
+func (sim *simulation) commit(name string) {
+	sim.agreed[name] = Item{name, sim.agreed[name].Version + 1, sim.rng.Uint64()}
+	sim.setIntents()
+	for _, s := range sim.relays {
+		sim.deliver(s, sim.agreed[name])
 	}
 }
 
 // send sends a datagram between a relay and the leader.
-func (w *simulation) send(s *simRelay, arrive func()) {
-	for range 1 + map[bool]int{true: 1}[w.rng.Float64() < 0.02] {
-		delay := 1 + w.rng.Int64N(w.delay)
-		if w.rng.Float64() < 0.01 {
+func (sim *simulation) send(s *simRelay, arrive func()) {
+	for range 1 + map[bool]int{true: 1}[sim.rng.Float64() < 0.02] {
+		delay := 1 + sim.rng.Int64N(sim.delay)
+		if sim.rng.Float64() < 0.01 {
 			delay *= 10 // later datagrams may arrive first
 		}
-		if w.rng.Float64() >= w.loss && w.now >= s.partitionedUntil {
-			w.schedule(w.now+delay, arrive)
+		if sim.rng.Float64() >= sim.loss && sim.now >= s.partitionedUntil {
+			sim.schedule(sim.now+delay, arrive)
 		}
 	}
 }
 
-func (w *simulation) handleReport(s *simRelay, b []byte) {
+func (sim *simulation) handleReport(s *simRelay, b []byte) {
 	report, err := DecodeReport(b)
 	if err != nil {
 		panic(err)
 	}
-	w.monitor.HandleReport(w.now, report)
-	w.checkFindings(s.name)
-	if reply, ok := w.monitor.Reply(s.name); ok {
+	sim.monitor.HandleReport(sim.now, report)
+	sim.checkFindings(s.name)
+	if reply, ok := sim.monitor.Reply(s.name); ok {
 		b, start := reply.Encode(), s.incarnation
-		w.send(s, func() {
-			if r, err := DecodeReply(b); err == nil && s.up && s.incarnation == start && w.now >= s.stoppedUntil {
+		sim.send(s, func() {
+			if r, err := DecodeReply(b); err == nil && s.up && s.incarnation == start && sim.now >= s.stoppedUntil {
 				for _, item := range s.reporter.HandleReply(r) {
-					w.deliver(s, w.agreed[item])
+					sim.deliver(s, sim.agreed[item])
 				}
 			}
 		})
@@ -213,19 +213,19 @@
 }
 
 // checkFindings compares the states of a relay's items with the planted drift.
-func (w *simulation) checkFindings(relay string) {
-	r := w.monitor.relays[relay]
+func (sim *simulation) checkFindings(relay string) {
+	r := sim.monitor.relays[relay]
 	for _, g := range r.groups {
 		for _, p := range g.items {
 			key := relay + " " + p.agreed.Name
 			if r.silent || p.state < Lagging || p.state == Unknown {
 				continue
 			}
-			if want, ok := w.planted[key]; !ok {
-				w.falseFindings = append(w.falseFindings, fmt.Sprintf("%s at %d: %v, %s; ms since out of sync %d, progress %d, return %d, last report %d; liveness %d", key, w.now, p.state, p.suspicion.reason,
-					w.now-p.outOfSyncSince, w.now-p.progressedAt, w.now-p.returnedAt, w.now-r.sentAt, r.liveness))
-			} else if want == p.state && w.found[key] == 0 {
-				w.found[key] = w.now
+			if want, ok := sim.planted[key]; !ok {
+				sim.falseFindings = append(sim.falseFindings, fmt.Sprintf("%s at %d: %v, %s; ms since out of sync %d, progress %d, return %d, last report %d; liveness %d", key, sim.now, p.state, p.suspicion.reason,
+					sim.now-p.outOfSyncSince, sim.now-p.progressedAt, sim.now-p.returnedAt, sim.now-r.sentAt, r.liveness))
+			} else if want == p.state && sim.found[key] == 0 {
+				sim.found[key] = sim.now
 			}
 		}
 	}
@@ -233,80 +233,80 @@
 
 // updateDriftSince records when planted drift starts to count as drift, for kinds that count only
 // after the lag bound.
-func (w *simulation) updateDriftSince() {
-	for _, key := range slices.Sorted(maps.Keys(w.planted)) {
-		if w.driftSince[key] != 0 || w.planted[key] == Rejected {
+func (sim *simulation) updateDriftSince() {
+	for _, key := range slices.Sorted(maps.Keys(sim.planted)) {
+		if sim.driftSince[key] != 0 || sim.planted[key] == Rejected {
 			continue
 		}
 		relay, item, _ := strings.Cut(key, " ")
-		r := w.monitor.relays[relay]
+		r := sim.monitor.relays[relay]
 		g := r.group(GroupOf(item))
-		if p := g.item(item); p.outOfSyncSince > 0 && p.lastReportedState == w.planted[key] && !r.silent && w.monitor.overdue(w.now, g, p) {
-			w.driftSince[key] = w.now
+		if p := g.item(item); p.outOfSyncSince > 0 && p.lastReportedState == sim.planted[key] && !r.silent && sim.monitor.overdue(sim.now, g, p) {
+			sim.driftSince[key] = sim.now
 		}
 	}
 }
 
 // runUntil runs all events and reports that are due before a time.
-func (w *simulation) runUntil(until int64) {
-	for ; w.now < until; w.now += tickMs {
-		due := w.events[w.now]
-		delete(w.events, w.now)
+func (sim *simulation) runUntil(until int64) {
+	for ; sim.now < until; sim.now += tickMs {
+		due := sim.events[sim.now]
+		delete(sim.events, sim.now)
 		for _, do := range due {
 			do()
 		}
-		for _, s := range w.relays {
-			if !s.up || w.now < s.stoppedUntil {
+		for _, s := range sim.relays {
+			if !s.up || sim.now < s.stoppedUntil {
 				continue
 			}
-			if s.partitionedUntil > 0 && w.now >= s.partitionedUntil {
+			if s.partitionedUntil > 0 && sim.now >= s.partitionedUntil {
 				s.partitionedUntil = 0
-				w.catchUp(s)
+				sim.catchUp(s)
 			}
-			if (w.now+s.reportPhase)%1000 != 0 {
+			if (sim.now+s.reportPhase)%1000 != 0 {
 				continue
 			}
 			for name := range s.violates {
 				s.reporter.CountActivity(name, KindRemovedMember, 3, 3)
 			}
-			if w.now < s.inFlightUntil {
+			if sim.now < s.inFlightUntil {
 				s.reporter.CountActivity(ItemEjections, KindRemovedMember, 4, 4) // attempts that began before the change
 			}
 			for name := range s.progressing {
 				s.reporter.RecordProgress(name)
 			}
-			b := s.reporter.NextReport(s.clock(w.now)).Encode()
-			w.bytes += len(b)
-			w.longestReport = max(w.longestReport, len(b))
-			w.send(s, func() { w.handleReport(s, b) })
+			b := s.reporter.NextReport(s.clock(sim.now)).Encode()
+			sim.bytes += len(b)
+			sim.longestReport = max(sim.longestReport, len(b))
+			sim.send(s, func() { sim.handleReport(s, b) })
 		}
-		if w.now%1000 == 0 {
-			for _, c := range w.monitor.Tick(w.now) {
+		if sim.now%1000 == 0 {
+			for _, c := range sim.monitor.Tick(sim.now) {
 				h := fnv.New64a()
-				fmt.Fprint(h, w.trace, c)
-				w.trace = h.Sum64()
+				fmt.Fprint(h, sim.trace, c)
+				sim.trace = h.Sum64()
 			}
-			for _, s := range w.relays {
-				w.checkFindings(s.name)
+			for _, s := range sim.relays {
+				sim.checkFindings(s.name)
 			}
 		}
-		w.updateDriftSince()
+		sim.updateDriftSince()
 	}
 }
 
-func (w *simulation) advance(ms int64) { w.runUntil((w.now + ms) / tickMs * tickMs) }
+func (sim *simulation) advance(ms int64) { sim.runUntil((sim.now + ms) / tickMs * tickMs) }
 
 // restart ends a relay's process and starts a new one after wait, with the same versions. With known,
 // the Monitor is told of the restart.
-func (w *simulation) restart(s *simRelay, wait int64, known bool) {
+func (sim *simulation) restart(s *simRelay, wait int64, known bool) {
 	s.up = false
 	if known {
-		w.monitor.SetLiveness(s.name, Restarting)
+		sim.monitor.SetLiveness(s.name, Restarting)
 	}
-	w.schedule(w.now+wait, func() {
-		w.start(s)
+	sim.schedule(sim.now+wait, func() {
+		sim.start(s)
 		if known {
-			w.schedule(w.now+2000, func() { w.monitor.SetLiveness(s.name, Alive) })
+			sim.schedule(sim.now+2000, func() { sim.monitor.SetLiveness(s.name, Alive) })
 		}
 	})
 }
@@ -320,41 +320,41 @@
 }
 
 // disturb runs the fleet with faults and changes of all kinds, none of which is drift.
-func (w *simulation) disturb(ms int64) {
-	for end := w.now + ms; w.now < end; {
-		s := w.relays[w.rng.IntN(len(w.relays))]
-		canDisturb := !s.undisturbed && s.up && w.now > s.stoppedUntil && s.partitionedUntil == 0 && !s.slowDisk
-		switch k := w.rng.IntN(15); {
+func (sim *simulation) disturb(ms int64) {
+	for end := sim.now + ms; sim.now < end; {
+		s := sim.relays[sim.rng.IntN(len(sim.relays))]
+		canDisturb := !s.undisturbed && s.up && sim.now > s.stoppedUntil && s.partitionedUntil == 0 && !s.slowDisk
+		switch k := sim.rng.IntN(15); {
 		case k < 6:
-			w.commit(w.itemNames[w.rng.IntN(len(w.itemNames))])
+			sim.commit(sim.itemNames[sim.rng.IntN(len(sim.itemNames))])
 		case k == 6:
-			w.commit(ItemEjections)
+			sim.commit(ItemEjections)
 		case !canDisturb:
 		case k == 7:
-			w.restart(s, w.rng.Int64N(8000), w.rng.IntN(2) == 0)
+			sim.restart(s, sim.rng.Int64N(8000), sim.rng.IntN(2) == 0)
 		case k == 8: // restarts with an empty directory
 			s.running = map[string]Item{}
-			w.restart(s, w.rng.Int64N(3000), false)
+			sim.restart(s, sim.rng.Int64N(3000), false)
 		case k == 9: // upgrade: the new process starts before the old one has ended
-			w.monitor.SetLiveness(s.name, Upgrading)
-			w.start(s)
-			w.schedule(w.now+4000, func() { w.monitor.SetLiveness(s.name, Alive) })
+			sim.monitor.SetLiveness(s.name, Upgrading)
+			sim.start(s)
+			sim.schedule(sim.now+4000, func() { sim.monitor.SetLiveness(s.name, Alive) })
 		case k == 10:
-			s.stoppedUntil = w.now + w.rng.Int64N(12000)
+			s.stoppedUntil = sim.now + sim.rng.Int64N(12000)
 		case k == 11:
-			s.partitionedUntil = w.now + w.rng.Int64N(40000)
-			if w.rng.IntN(2) == 0 {
-				w.monitor.SetLiveness(s.name, Unreachable)
+			s.partitionedUntil = sim.now + sim.rng.Int64N(40000)
+			if sim.rng.IntN(2) == 0 {
+				sim.monitor.SetLiveness(s.name, Unreachable)
 			}
 		case k == 14: // its clock is stepped
-			s.clockSkew += w.rng.Int64N(40_000) - 20_000
-		case k == 12 && w.rng.IntN(4) == 0:
-			w.changeLeader()
-		case k == 13 && w.rng.IntN(4) == 0: // slow disk for a minute
+			s.clockSkew += sim.rng.Int64N(40_000) - 20_000
+		case k == 12 && sim.rng.IntN(4) == 0:
+			sim.changeLeader()
+		case k == 13 && sim.rng.IntN(4) == 0: // slow disk for a minute
 			s.slowDisk = true
-			w.schedule(w.now+60_000, func() { s.slowDisk = false })
+			sim.schedule(sim.now+60_000, func() { s.slowDisk = false })
 		}
-		w.advance(w.rng.Int64N(5000))
+		sim.advance(sim.rng.Int64N(5000))
 	}
 }
 
@@ -369,13 +369,13 @@
 	}
 	for seed := range seedsToRun(2) {
 		for _, n := range []int{3, 40, 300} {
-			w := newSimulation(seed, n, 16)
-			w.disturb(minutes * 60_000 / int64(1+n/100*4))
-			if len(w.falseFindings) > 0 {
-				t.Fatalf("seed %d, %d relays: %d findings, want none; first: %s", seed, n, len(w.falseFindings), w.falseFindings[0])
+			sim := newSimulation(seed, n, 16)
+			sim.disturb(minutes * 60_000 / int64(1+n/100*4))
+			if len(sim.falseFindings) > 0 {
+				t.Fatalf("seed %d, %d relays: %d findings, want none; first: %s", seed, n, len(sim.falseFindings), sim.falseFindings[0])
 			}
-			w.advance(120_000)
-			if findings := w.monitor.Findings(); len(findings) > 0 && !slices.ContainsFunc(w.relays, func(s *simRelay) bool { return !s.up }) {
+			sim.advance(120_000)
+			if findings := sim.monitor.Findings(); len(findings) > 0 && !slices.ContainsFunc(sim.relays, func(s *simRelay) bool { return !s.up }) {
 				t.Fatalf("seed %d, %d relays: not in sync 2 minutes after the last fault: %+v", seed, n, findings[0])
 			}
 		}
