--- a/internal/canary/counts_test.go
+++ b/internal/canary/counts_test.go
@@ -71,7 +71,9 @@
 				report()
 			}
 		}
-		for range 15 * len(c.strata) { // unchanged strata are sent in turn, each about fifteen times, so it is all but impossible to lose them all
+		// Unchanged strata are sent in turn. Each is sent about fifteen times, so it is very unlikely that
+		// all reports of one are lost.
+		for range 15 * len(c.strata) {
 			report()
 		}
 		for _, k := range c.strata {
@@ -113,7 +115,8 @@
 		}
 		j := NewJudge(JudgeSettings{Spec: validSpec("r"), Epoch: 1})
 		report.Salt = j.settings.Salt
-		for i, start := range []uint64{0, report.Incarnation, report.Incarnation} { // an earlier process, this one, and this one again
+		// Reports of an earlier process, of this one, and of this one again.
+		for i, start := range []uint64{0, report.Incarnation, report.Incarnation} {
 			r := report
 			r.Incarnation, r.Seq = start, uint64(i+1)
 			j.Observe(int64(1000*i), "n", "z", r)
--- a/internal/canary/resolver_test.go
+++ b/internal/canary/resolver_test.go
@@ -70,7 +70,8 @@
 			case 0:
 				r.partitioned = !r.partitioned
 			case 1:
-				relays[i] = startRelay(now, 1+rng.IntN(r.applied)) // its disk may contain an earlier index than it had applied
+				// The relay's disk may contain an earlier index than the one that it had applied.
+				relays[i] = startRelay(now, 1+rng.IntN(r.applied))
 				relays[i].partitioned = r.partitioned
 				r = relays[i]
 			case 2:
--- a/internal/canary/simulation_test.go
+++ b/internal/canary/simulation_test.go
@@ -15,7 +15,7 @@
 	"testing"
 )
 
-// defect is a defect of the canary or of relays, and the setting of a simulation.
+// defect is a defect of the canary or of relays, with the other settings of a simulation.
 type defect struct {
 	extraFailureRate    float64 // share of attempts that fail in addition
 	slowdown            float64 // factor on set-up and message times; 0 means 1
@@ -225,7 +225,8 @@
 			if toCanary {
 				m, s.WarmingUp = sim.canary[sim.rng.IntN(len(sim.canary))], warmingUp
 			} else {
-				m, s.WarmingUp = sim.baseline[sim.rng.IntN(len(sim.baseline))], sim.rng.IntN(50) == 0 // some baseline members are warming up too
+				// Some baseline members are warming up too.
+				m, s.WarmingUp = sim.baseline[sim.rng.IntN(len(sim.baseline))], sim.rng.IntN(50) == 0
 			}
 			if sim.rng.IntN(5) == 0 {
 				s.Zone = uint8(sim.rng.IntN(3))
@@ -421,8 +422,8 @@
 			missed, lateStops, attributed, undecided := 0, 0, 0, 0
 			for i, o := range list {
 				switch {
-				case o.Status != Completed && o.Outcome == Overdue && o.finalPerMille < 250: // stopped; harm neither shown nor ruled out
-					undecided++
+				case o.Status != Completed && o.Outcome == Overdue && o.finalPerMille < 250:
+					undecided++ // stopped, as harm was neither shown nor ruled out in time
 				case o.Status == Completed || o.verdict.Outcome != Regressed && o.verdict.Outcome != Divergent:
 					missed++
 					t.Logf("%s, seed %d, %d relays: defect not found, status %q, reason %q", c.name, firstSeed()+i, o.relays, o.Status, o.Reason)
@@ -437,7 +438,9 @@
 				}
 			}
 			t.Logf("%s: of %d releases, missed %d, paused at 250 per mille or more %d, overdue %d, attributed correctly %d", c.name, n, missed, lateStops, undecided, attributed)
-			missedDivisor, misattributedDivisor := 100, 10 // at most one in so many may be missed or late, and misattributed
+			// At most one release in missedDivisor may be missed or paused late, and one in
+			// misattributedDivisor misattributed.
+			missedDivisor, misattributedDivisor := 100, 10
 			if c.relay != "" {
 				missedDivisor, misattributedDivisor = 10, 3 // harm at one relay of many gives little evidence
 			}
@@ -533,7 +536,9 @@
 	for _, r := range withoutSeqs.relays {
 		r.seq = 0 // planted defect: the judge forgets which reports the evidence covers
 	}
-	for _, j := range []*Judge{next, withoutSeqs} { // a covered report arrives late, as if from the start of the step, then the current one
+	// Each judge receives a report that the checkpoint covers, as if it was delayed since the start of the
+	// step, and then the current report.
+	for _, j := range []*Judge{next, withoutSeqs} {
 		for _, p := range sim.relays {
 			current, _ := DecodeCountReport(p.collector.AppendReport(nil, 1400))
 			late := current
--- a/internal/drift/codec_test.go
+++ b/internal/drift/codec_test.go
@@ -16,7 +16,7 @@
 func TestReportFits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		reporter := NewReporter(strings.Repeat("r", rapid.IntRange(1, MaxRelayNameBytes).Draw(t, "name")), 1<<63)
-		minNameBytes := rapid.IntRange(1, MaxNameBytes).Draw(t, "long")
+		minNameBytes := rapid.IntRange(1, MaxNameBytes).Draw(t, "minimum bytes of a name")
 		n := rapid.IntRange(0, MaxItems+2).Draw(t, "items")
 		accepted := map[string]bool{}
 		for i := range n {
--- a/internal/drift/monitor_test.go
+++ b/internal/drift/monitor_test.go
@@ -44,7 +44,7 @@
 		}
 		recordRunning()
 		for range rapid.IntRange(20, 120).Draw(t, "steps") {
-			switch rapid.IntRange(0, 16).Draw(t, "what") {
+			switch rapid.IntRange(0, 16).Draw(t, "event") {
 			case 0, 1: // a new version is agreed
 				intent = Item{"config.tls", highestVersion + 1, highestVersion + 51}
 				highestVersion++
@@ -225,7 +225,8 @@
 	if len(selectNames(0, nil)) != 0 || len(selectNames(-1, nil)) != 0 || len(quarantined) != 2 {
 		t.Fatalf("SelectUnfit with budgets 0, -1 and 2 = %v, %v and %v, want 0, 0 and 2 relays", selectNames(0, nil), selectNames(-1, nil), quarantined)
 	}
-	reporters[4].RecordApplied(now, Item{ItemEndpointList, 0, 9}, "file") // more severe, but does not replace a relay in quarantine
+	// The drift of n4 becomes more severe, but n4 does not replace a relay in quarantine.
+	reporters[4].RecordApplied(now, Item{ItemEndpointList, 0, 9}, "file")
 	now = exchangeReports(monitor, reporters, now, 5)
 	if again := selectNames(2, quarantined); !slices.Equal(again, quarantined) {
 		t.Fatalf("SelectUnfit while the quarantined relays drift = %v, want %v", again, quarantined)
--- a/internal/drift/planted_test.go
+++ b/internal/drift/planted_test.go
@@ -65,9 +65,10 @@
 	}
 }
 
-// TestPlantedDriftFound checks that planted drift of each kind is found, with a p99 under 3 s from
-// when it counts as drift, that nothing else is found, and that the findings end once the drift is
-// repaired. A relay that can repair the drift itself is asked to resync.
+// TestPlantedDriftFound checks that planted drift of each kind is found, that the p99 of the time from
+// when it counts as drift until it is found is under 3 s, that nothing else is found, and that the
+// findings end once the drift is repaired. The leader asks a relay that can repair the drift itself to
+// resync.
 func TestPlantedDriftFound(t *testing.T) {
 	took := map[string][]int64{}
 	var all []int64
@@ -111,7 +112,7 @@
 		sim.repairAll()
 		sim.advance(60_000)
 		if findings := sim.monitor.Findings(); len(findings) > 0 {
-			t.Fatalf("seed %d: finding 60 s after the repair: %+v", seed, findings[0])
+			t.Fatalf("seed %d: finding 60 s after the repair: %+v, want none", seed, findings[0])
 		}
 	}
 	for _, kind := range []State{Lagging, Rejected, Regressed, Ahead, Overridden, Contradicting} {
--- a/internal/drift/simulation_test.go
+++ b/internal/drift/simulation_test.go
@@ -270,7 +270,8 @@
 				s.reporter.CountActivity(name, KindRemovedMember, 3, 3)
 			}
 			if sim.now < s.inFlightUntil {
-				s.reporter.CountActivity(ItemEjections, KindRemovedMember, 4, 4) // attempts that began before the change
+				// Attempts that began before the change.
+				s.reporter.CountActivity(ItemEjections, KindRemovedMember, 4, 4)
 			}
 			for name := range s.progressing {
 				s.reporter.RecordProgress(name)
@@ -296,8 +297,8 @@
 
 func (sim *simulation) advance(ms int64) { sim.runUntil((sim.now + ms) / tickMs * tickMs) }
 
-// restart ends a relay's process and starts a new one after wait, with the same versions. With known,
-// the Monitor is told of the restart.
+// restart ends a relay's process and starts a new one after wait ms, with the same versions. If known is
+// set, the Monitor gets the liveness Restarting for the relay until 2 s after the start.
 func (sim *simulation) restart(s *simRelay, wait int64, known bool) {
 	s.up = false
 	if known {
--- a/internal/fleet/model_test.go
+++ b/internal/fleet/model_test.go
@@ -340,7 +340,8 @@
 		plant func(m *model, r *modelRelay)
 	}{
 		{drift.ItemProgram, drift.Ahead, func(m *model, r *modelRelay) { r.program = "other"; m.start(r) }},
-		{drift.ItemProgram, drift.Lagging, func(m *model, r *modelRelay) { // the relay goes back to the previous program
+		{drift.ItemProgram, drift.Lagging, func(m *model, r *modelRelay) {
+			// The relay goes back to the previous program.
 			for _, x := range m.relays {
 				x.program = map[bool]string{false: "p2", true: "p1"}[x == r]
 				m.start(x)
@@ -460,7 +461,7 @@
 		m.openRelease("again", rollout.ReleaseSpec{Kind: rollout.KindRelay, Names: firstHalf, Program: "p3", Config: "c3"})
 		expectOutcome("again", rollout.ReleaseCompleted, "p3 c3l", "p1 c1l", "p1 c1l")
 		if r := NewRecord(); r.Restore(1, m.leader.record.Snapshot()) != nil || string(r.Snapshot()) != string(m.leader.record.Snapshot()) || len(r.intent.PerRelay) != 3 {
-			t.Fatalf("restored snapshot differs from the record, or has not 3 relays with their own intent: %+v", r.intent)
+			t.Fatalf("restored snapshot differs from the record, or does not have intent of its own for 3 relays: %+v", r.intent)
 		}
 		m.openRelease("rest", rollout.ReleaseSpec{Kind: rollout.KindRelay, Names: secondHalf, Program: "p3", Config: "c3"})
 		expectOutcome("rest", rollout.ReleaseCompleted, "p3 c3l", "p3 c3l", "p3 c3l")
@@ -475,7 +476,7 @@
 		m.requireNoFalseFindings("rejected configuration")
 	}
 	if r := NewRecord(); r.Restore(1, []byte(`{"held":{},"rollout":{},"canary":{}}`)) != nil || len(r.intent.Items) > 0 {
-		t.Fatal("a snapshot of a version without intent cannot be restored, or has intent afterwards")
+		t.Fatalf("restored snapshot of a version without intent: intent %+v, want no error and no items", r.intent)
 	}
 }
 
@@ -561,8 +562,8 @@
 }
 
 // TestModelBaseline: a value that only half of the relays run does not become intent. A value that more
-// relays run does after a while, and the other relays then drift. A single relay's configuration
-// becomes intent by an operator's command.
+// than half run becomes intent after a while, and the other relays then count as drifted. A single
+// relay's configuration becomes intent by an operator's command.
 func TestModelBaseline(t *testing.T) {
 	m := newModel(t, 1, 6)
 	for i := range 3 {
@@ -594,7 +595,8 @@
 	}
 	m.requireNoFalseFindings("intent set by an operator")
 	if a := m.commit(partIntent, []byte(`{"do":"adopt","items":{"config.limits":"y"}}`)); a.Error != "" || m.leader.record.intent.Items["config.limits"][0].Value != "x" {
-		t.Fatal("a late command of the controller was rejected, or changed existing intent")
+		t.Fatalf("late command of the controller: error %q, intent of config.limits %+v, want no error and an unchanged value x",
+			a.Error, m.leader.record.intent.Items["config.limits"])
 	}
 	for _, bad := range []string{`{"do":"adopt","items":{"bans":"y"}}`, `{"do":"x"}`, `{"do":"adopt","items":{"program":"` + strings.Repeat("y", 200) + `"}}`,
 		`{"do":"adopt","release":"none"}`, `[`} {
@@ -604,9 +606,9 @@
 	}
 }
 
-// TestModelQuarantine: half of the fleet drifts, and two relays may be out of service. Never are more
-// out, under two leaders and while a release restarts all relays, which repairs them. A repaired relay
-// takes clients again, and all relays do once QuarantineDrifted is off.
+// TestModelQuarantine: half of the fleet drifts, and two relays may be out of service. At no time are
+// more than two out, although the leader changes and a release restarts all relays, which repairs them.
+// A repaired relay takes clients again, and all relays do once QuarantineDrifted is off.
 func TestModelQuarantine(t *testing.T) {
 	for seed := range seedCount(4) {
 		m := settledModel(t, seed, 8)
@@ -652,7 +654,8 @@
 		restoredRelay = ""
 		m.relays[5].overriddenSections["limits"] = "mine"
 		requireWithin("one relay in quarantine again", 120_000, func() bool { return countOut() == 1 })
-		m.openRelease("drain", rollout.ReleaseSpec{Kind: rollout.KindMember, Drain: true, Names: []string{"m1"}}) // a relay in quarantine does not block it
+		// A relay in quarantine does not block the drain.
+		m.openRelease("drain", rollout.ReleaseSpec{Kind: rollout.KindMember, Drain: true, Names: []string{"m1"}})
 		requireWithin("member drained", 10_000, func() bool { return len(m.leader.record.rollout.Orders("").Exclusions) > 0 })
 		m.quarantineDrifted = false
 		requireWithin("all relays readmitted without QuarantineDrifted", 60_000, func() bool { return countOut() == 0 })
--- a/internal/rollout/figures_test.go
+++ b/internal/rollout/figures_test.go
@@ -27,7 +27,9 @@
 		sim.call(Command{Kind: CommandOpen, Name: "r", Release: &ReleaseSpec{Kind: KindRelay, All: true, Program: "p2"}})
 		sim.call(Command{Kind: CommandOpen, Name: "m", Release: &ReleaseSpec{Kind: KindMember, All: true, Program: "b2"}})
 		from := sim.now
-		out := map[string]int64{} // by kind: sum of the ms that each target was really out, not until it was seen to be back
+		// By kind: for how many ms the targets were really out, in all. The time until the leader saw them
+		// back is not included.
+		out := map[string]int64{}
 		for !sim.state.record.Releases[0].ended() || !sim.state.record.Releases[1].ended() {
 			sim.tick()
 			for key, stillOut := range sim.out {
@@ -36,10 +38,11 @@
 				}
 			}
 		}
-		bestMS := max(out[string(KindRelay)], out[string(KindMember)]) / 3 // the budgets let a quarter of 12 out at a time
+		// The budgets let 3 of 12, a quarter, out at a time.
+		bestMS := max(out[string(KindRelay)], out[string(KindMember)]) / 3
 		ratio := float64(sim.now-from) / float64(bestMS)
 		worst = max(worst, ratio)
-		t.Logf("seed %d: the releases took %.1f s, at best %.1f s, ratio %.2f", seed, float64(sim.now-from)/1000, float64(bestMS)/1000, ratio)
+		t.Logf("seed %d: the releases took %.1f s, the shortest possible duration is %.1f s, ratio %.2f", seed, float64(sim.now-from)/1000, float64(bestMS)/1000, ratio)
 	}
 	if worst > 2 {
 		t.Errorf("the slowest run took %.2f times the shortest duration that the budgets allow, want at most 2", worst)
--- a/internal/rollout/model_test.go
+++ b/internal/rollout/model_test.go
@@ -123,7 +123,8 @@
 	sim.runUntilSettled(600, CommandResume)
 	sim.runUntilSettled(1000, CommandRollBack)
 	if sim.state.record.findRelease("drain") != nil {
-		sim.call(Command{Kind: CommandRollBack, Name: "drain"}) // it may have blocked other releases that must roll back
+		// The drain may have blocked other releases that must roll back.
+		sim.call(Command{Kind: CommandRollBack, Name: "drain"})
 	}
 	if sim.state.record.findRelease("bans") != nil {
 		sim.call(Command{Kind: CommandRollBack, Name: "bans"})
@@ -204,7 +205,7 @@
 			for _, x := range sim.members {
 				if u.Kind == KindMember && x.name == u.currentName() {
 					program, originalProgram = x.program, x.originalProgram
-					// It does not report its program and crashed before its owner replaced it.
+					// The member does not report its program and crashed before its owner replaced it.
 					programUnknown = !x.reportsProgram && x.lastOrder != u.OrderNumber
 				}
 			}
@@ -215,8 +216,8 @@
 			programUnknown = programUnknown || u.Kind == KindRelay && u.PreviousProgram == ""
 			wrong := r.State == ReleaseRolledBack && program != originalProgram || r.State == ReleaseCompleted && program != r.Spec.Program
 			if sim.checkedUnits++; sim.hadFaults && (programUnknown || u.Phase == PhaseMissing || u.Successor != "" && !strings.HasPrefix(u.Successor, u.Name)) {
-				// It was down until all other units were done, and is listed as missing; or a member that was
-				// down when the units were set was taken for its successor.
+				// The unit was down until all other units were done, and is listed as missing; or a member that
+				// was down when the units were set was mistaken for the unit's successor.
 				if wrong {
 					sim.excusedUnits++
 				}
--- a/internal/rollout/permit_test.go
+++ b/internal/rollout/permit_test.go
@@ -26,7 +26,7 @@
 	expect(t, s, v.At, PermitBegun, Command{Kind: CommandBeginPermit, PermitNumber: 1})
 	expect(t, s, v.At, PermitBegun, Command{Kind: CommandReturnPermit, PermitNumber: 1})
 	withoutN0, all := slices.Clone(v.Relays[1:]), v.Relays
-	v.Relays = withoutN0 // a relay that is down and not listed must be treated as one that is gone
+	v.Relays = withoutN0 // a view without n0 does not show whether n0 is down for a while or was removed
 	v.At += 1100
 	plan()
 	if len(s.Permits()) != 1 {
--- a/internal/rollout/quarantine_test.go
+++ b/internal/rollout/quarantine_test.go
@@ -104,7 +104,7 @@
 	plan(b, "n2 n0 ")
 
 	// An operator's readmission overrides the drift until the relay restarts. The quarantine of a relay that
-	// is gone is dropped.
+	// has left the view is removed.
 	reset()
 	r = &v.Relays[6]
 	plan(b, "n6 n2 n0 ")
--- a/internal/rollout/release_test.go
+++ b/internal/rollout/release_test.go
@@ -89,8 +89,9 @@
 	}
 }
 
-// TestStranded checks that a stranded member counts as out until it is back as it was, is gone, or an
-// operator accepts it as it is, and that it is listed as an exception once.
+// TestStranded checks that a stranded member counts as out until it is back in service with its previous
+// program, has left the view, or is accepted by an operator as it is, and that it is listed as an exception
+// once.
 func TestStranded(t *testing.T) {
 	b := Budgets{SilentAfterMS: 100, ViewMaxAgeMS: 100, DrainTimeoutMS: 100, StartTimeoutMS: 100, PermitWindowMS: 100}
 	for _, reinstate := range []bool{false, true} {
@@ -108,7 +109,7 @@
 		}
 		a, _ := s.Release("r")
 		if plan := s.Plan(v.At, v, b); plan != nil || s.Orders("n").Exclusions != nil || len(s.record.plannedOut(KindMember)) > 0 || len(a.Exceptions) != 1 {
-			t.Errorf("stranded member reinstated (%v) or gone: Plan() = %+v, release %+v, want no command, no exclusion, nothing out and one exception", reinstate, plan, a)
+			t.Errorf("stranded member reinstated (%v) or not in the view: Plan() = %+v, release %+v, want no command, no exclusion, nothing out and one exception", reinstate, plan, a)
 		}
 	}
 }
--- a/internal/rollout/simulation_checks_test.go
+++ b/internal/rollout/simulation_checks_test.go
@@ -172,7 +172,9 @@
 	}
 	for _, h := range sim.relays {
 		if !sim.serves(h) || max(h.serveAt, h.reconnectAt, h.unpauseAt) > sim.now-5000 || sim.now-h.lastContact > sim.releasesFlowsAfterMS() {
-			continue // it may have come back since the observation; such a relay applies the record before it serves
+			// The relay may have started, resumed or reconnected since the observation. Such a relay applies
+			// the record before it serves.
+			continue
 		}
 		until, migrating := h.flowsUntil[name]
 		_, out := sim.log[h.appliedIndex].excluded[name]
--- a/internal/rollout/simulation_test.go
+++ b/internal/rollout/simulation_test.go
@@ -23,8 +23,8 @@
 	load             float64
 	utilization      float64 // share of each relay's capacity that its flows use
 	leaderSince      int64   // when the leader's view began; if in the future, there is no leader until then
-	skew             int64
-	staleState       []byte // earlier state that a second leader still plans from
+	skew             int64   // difference of the leader's clock from now, ms
+	staleState       []byte  // earlier state that a second leader still plans from
 	staleView        View
 	faultFree        bool // no faults from now on
 	twoLeaders       bool // the second leader plans each time that the leader does
@@ -298,7 +298,7 @@
 	for _, a := range sim.requesters {
 		sim.stepRequester(a)
 	}
-	sim.dropReturned() // a target that is back, if only for a moment, and fails then, is no longer out by plan
+	sim.dropReturned() // a target that has been back in service, even briefly, no longer counts as out by plan
 	due := sim.pending
 	sim.pending = nil
 	for _, p := range due {
@@ -512,7 +512,7 @@
 	}
 }
 
-// view returns the leader's view, built from load reports that are late or lost and from gossip of the peers.
+// view returns the leader's view, built from status reports that are late or lost and from gossip.
 func (sim *simulation) view() View {
 	v := View{At: sim.now + sim.skew, Load: sim.load, Service: sim.service, Unfit: map[string]string{}}
 	if sim.driftUntil > sim.now {
