--- a/internal/canary/resolver_test.go
+++ b/internal/canary/resolver_test.go
@@ -175,7 +175,8 @@
 	r.ApplyRecord(9, []Weight{w})
 	checkWeight(5000, 50, "resumed in a later epoch")
 	if len(r.notices) != 0 || r.HandleNotice(Notice{Release: "r", Pause: true, Epoch: 1}) {
-		t.Errorf("after a resume: notices stored = %v, want none, and a pause of the earlier epoch must not be new", r.notices)
+		t.Errorf("after a resume: notices stored = %v, want none, and a pause of the earlier epoch must not be new",
+			r.notices)
 	}
 	if n, ok := r.Pause("r"); !ok || n.Epoch != 2 || len(r.Notices()) != 2 {
 		t.Errorf("Pause = %+v, %v with notices %+v; want epoch 2, true and 2 notices", n, ok, r.Notices())
@@ -236,7 +237,8 @@
 		t.Fatalf("EncodeNotices = %d bytes, want at most %d; decode error %v: %s", len(encoded), maxBytes, err, encoded)
 	}
 	if len(list) < 2 || list[0] != (Notice{Release: name, Pause: true, Epoch: 7}) {
-		t.Errorf("EncodeNotices = %s, want the pause of the recorded release first and at least one more notice", encoded)
+		t.Errorf("EncodeNotices = %s, want the pause of the recorded release first and at least one more notice",
+			encoded)
 	}
 	if empty := NewWeightResolver(maxStalenessMS).EncodeNotices(maxBytes); empty != nil {
 		t.Errorf("EncodeNotices without notices = %q, want nil", empty)
@@ -256,7 +258,8 @@
 		}
 		n, ok := r.Pause("r")
 		if !ok || !other.HandleNotice(n) || other.EffectiveWeights(0)[0].PerMille != 0 {
-			t.Errorf("record %v: Pause = %+v, %v; the other relay then uses %+v, want weight 0", applied, n, ok, other.EffectiveWeights(0))
+			t.Errorf("record %v: Pause = %+v, %v; the other relay then uses %+v, want weight 0",
+				applied, n, ok, other.EffectiveWeights(0))
 		}
 	}
 	if n, ok := NewWeightResolver(maxStalenessMS).Pause("r"); ok {
--- a/internal/canary/simulation_test.go
+++ b/internal/canary/simulation_test.go
@@ -170,7 +170,8 @@
 				break
 			}
 			if k == 0 || sim.logAt[k] < sim.now-6000 {
-				return true, fmt.Errorf("relay %s uses %d per mille, above all weights of the record within the staleness bound", p.name, perMille)
+				return true, fmt.Errorf("relay %s uses %d per mille, above all weights of the record within the staleness bound",
+					p.name, perMille)
 			}
 		}
 		sim.offerFlows(p, perMille)
@@ -388,7 +389,8 @@
 		for i, o := range list[first:] {
 			if o.Status != Completed {
 				paused++
-				t.Logf("seed %d, %d relays: status %q at %d per mille after %d s: outcome %q, %s %v", firstSeed()+first+i, o.relays, o.Status, o.finalPerMille, o.seconds, o.Outcome, o.Reason, o.Divergent)
+				t.Logf("seed %d, %d relays: status %q at %d per mille after %d s: outcome %q, %s %v",
+					firstSeed()+first+i, o.relays, o.Status, o.finalPerMille, o.seconds, o.Outcome, o.Reason, o.Divergent)
 			}
 		}
 		logResults(t, fmt.Sprintf("healthy releases, %d of %d not completed", paused, len(list)), list)
@@ -426,18 +428,22 @@
 					undecided++ // stopped, as harm was neither shown nor ruled out in time
 				case o.Status == Completed || o.verdict.Outcome != Regressed && o.verdict.Outcome != Divergent:
 					missed++
-					t.Logf("%s, seed %d, %d relays: defect not found, status %q, reason %q", c.name, firstSeed()+i, o.relays, o.Status, o.Reason)
+					t.Logf("%s, seed %d, %d relays: defect not found, status %q, reason %q",
+						c.name, firstSeed()+i, o.relays, o.Status, o.Reason)
 				case o.finalPerMille >= 250:
 					lateStops++
-					t.Logf("%s, seed %d, %d relays: paused late, at %d per mille", c.name, firstSeed()+i, o.relays, o.finalPerMille)
+					t.Logf("%s, seed %d, %d relays: paused late, at %d per mille",
+						c.name, firstSeed()+i, o.relays, o.finalPerMille)
 				}
 				if o.verdict.Outcome == c.want && (c.want == Regressed || slices.Equal(o.verdict.Zones, []string{c.zone}) || slices.Equal(o.verdict.Relays, []string{c.relay})) {
 					attributed++
 				} else {
-					t.Logf("%s, seed %d, %d relays: verdict %q for zones %v, relays %v", c.name, firstSeed()+i, o.relays, o.verdict.Outcome, o.verdict.Zones, o.verdict.Relays)
+					t.Logf("%s, seed %d, %d relays: verdict %q for zones %v, relays %v",
+						c.name, firstSeed()+i, o.relays, o.verdict.Outcome, o.verdict.Zones, o.verdict.Relays)
 				}
 			}
-			t.Logf("%s: of %d releases, missed %d, paused at 250 per mille or more %d, overdue %d, attributed correctly %d", c.name, n, missed, lateStops, undecided, attributed)
+			t.Logf("%s: of %d releases, missed %d, paused at 250 per mille or more %d, overdue %d, attributed correctly %d",
+				c.name, n, missed, lateStops, undecided, attributed)
 			// At most one release in missedDivisor may be missed or paused late, and one in
 			// misattributedDivisor misattributed.
 			missedDivisor, misattributedDivisor := 100, 10
@@ -471,7 +477,8 @@
 		}
 	}
 	if paused*100 > len(list) || missed > 0 {
-		t.Errorf("of %d healthy releases with a faulty relay: %d paused or rolled back, want at most 1%%; faulty relay not found in %d, want 0", len(list), paused, missed)
+		t.Errorf("of %d healthy releases with a faulty relay: %d paused or rolled back, want at most 1%%; faulty relay not found in %d, want 0",
+			len(list), paused, missed)
 	}
 }
 
@@ -490,9 +497,11 @@
 			eValuePauses++
 		}
 	}
-	t.Logf("healthy releases paused in 300 s, of %d: %d by a 1%% z-test evaluated every second, %d by e-values", n, zTestPauses, eValuePauses)
+	t.Logf("healthy releases paused in 300 s, of %d: %d by a 1%% z-test evaluated every second, %d by e-values",
+		n, zTestPauses, eValuePauses)
 	if zTestPauses*100 <= n || eValuePauses > 0 {
-		t.Errorf("healthy releases paused, of %d: %d by the repeated z-test, want more than 1%%; %d by e-values, want 0", n, zTestPauses, eValuePauses)
+		t.Errorf("healthy releases paused, of %d: %d by the repeated z-test, want more than 1%%; %d by e-values, want 0",
+			n, zTestPauses, eValuePauses)
 	}
 }
 
@@ -506,11 +515,14 @@
 			frequentChanges.leaderTermSeconds = 20
 			stable, repeated, changing := simulate(seed, f), simulate(seed, f), simulate(seed, frequentChanges)
 			if stable.trace != repeated.trace {
-				t.Errorf("seed %d: two simulations have traces %x and %x, want equal ones", seed, stable.trace, repeated.trace)
+				t.Errorf("seed %d: two simulations have traces %x and %x, want equal ones",
+					seed, stable.trace, repeated.trace)
 			}
-			t.Logf("one leader: status %q after %d s; a new leader every 20 s: status %q after %d s", stable.Status, stable.seconds, changing.Status, changing.seconds)
+			t.Logf("one leader: status %q after %d s; a new leader every 20 s: status %q after %d s",
+				stable.Status, stable.seconds, changing.Status, changing.seconds)
 			if changing.Status != stable.Status || changing.seconds > 3*stable.seconds {
-				t.Errorf("seed %d: a new leader every 20 s: status %q after %d s, want %q after at most %d s", seed, changing.Status, changing.seconds, stable.Status, 3*stable.seconds)
+				t.Errorf("seed %d: a new leader every 20 s: status %q after %d s, want %q after at most %d s",
+					seed, changing.Status, changing.seconds, stable.Status, 3*stable.seconds)
 			}
 		}
 	}
@@ -530,7 +542,8 @@
 	next, withoutSeqs := NewJudge(settings), NewJudge(settings)
 	for k := range next.tests {
 		if got, want := next.guardEvidence(k), sim.judge.guardEvidence(k); !(got <= want && got >= want-1.0/evidenceResolution) {
-			t.Errorf("guardrail %d: evidence after restore = %v, want at most %v and at most 1/%d below that", k, got, want, evidenceResolution)
+			t.Errorf("guardrail %d: evidence after restore = %v, want at most %v and at most 1/%d below that",
+				k, got, want, evidenceResolution)
 		}
 	}
 	for _, r := range withoutSeqs.relays {
@@ -555,12 +568,14 @@
 		j.Verdict(5000)
 	}
 	if next.compared != sim.judge.compared || withoutSeqs.compared <= next.compared {
-		t.Errorf("Compared: %d before, %d after restore, %d if covered reports count again; want the first two equal and the third higher", sim.judge.compared, next.compared, withoutSeqs.compared)
+		t.Errorf("Compared: %d before, %d after restore, %d if covered reports count again; want the first two equal and the third higher",
+			sim.judge.compared, next.compared, withoutSeqs.compared)
 	}
 	for length := range settings.Checkpoint {
 		truncated := settings
 		if truncated.Checkpoint = settings.Checkpoint[:length]; len(NewJudge(truncated).relays) > 0 {
-			t.Errorf("checkpoint truncated to %d of %d bytes was restored, want it ignored", length, len(settings.Checkpoint))
+			t.Errorf("checkpoint truncated to %d of %d bytes was restored, want it ignored",
+				length, len(settings.Checkpoint))
 		}
 	}
 }
--- a/internal/canary/state.go
+++ b/internal/canary/state.go
@@ -59,7 +59,8 @@
 	}
 	for release, k := range s.stored.Checkpoints {
 		if s.findCanary(release) == nil || len(k.Evidence) > MaxCheckpointBytes {
-			return fmt.Errorf("checkpoint of release %q has no canary or is too long: %d bytes, limit %d", release, len(k.Evidence), MaxCheckpointBytes)
+			return fmt.Errorf("checkpoint of release %q has no canary or is too long: %d bytes, limit %d",
+				release, len(k.Evidence), MaxCheckpointBytes)
 		}
 	}
 	for i, c := range s.stored.Canaries {
@@ -68,7 +69,8 @@
 		}
 		switch {
 		case i > 0 && s.stored.Canaries[i-1].Release >= c.Release:
-			return fmt.Errorf("canaries are not sorted by release: %q follows %q", c.Release, s.stored.Canaries[i-1].Release)
+			return fmt.Errorf("canaries are not sorted by release: %q follows %q",
+				c.Release, s.stored.Canaries[i-1].Release)
 		case c.Step < 0 || c.Step >= len(c.Steps) || c.PerMille < 0 || c.PerMille > c.Steps[c.Step] || c.Epoch > s.stored.Epochs:
 			return fmt.Errorf("%s: step %d of %d, weight %d per mille or epoch %d (highest %d) is out of range",
 				c.Release, c.Step, len(c.Steps), c.PerMille, c.Epoch, s.stored.Epochs)
--- a/internal/canary/state_test.go
+++ b/internal/canary/state_test.go
@@ -157,7 +157,8 @@
 			case existed && c.PerMille > before.PerMille && cmd.Op != OpAdvance && cmd.Op != OpResume:
 				t.Fatalf("command %q raised the weight from %d to %d", cmd.Op, before.PerMille, c.PerMille)
 			case cmd.Op == OpAdvance && (before.Status != Progressing || cmd.Revision != before.Revision || c.Step > before.Step+1):
-				t.Fatalf("step up accepted in status %q at revision %d (command's: %d), from step %d to %d", before.Status, before.Revision, cmd.Revision, before.Step, c.Step)
+				t.Fatalf("step up accepted in status %q at revision %d (command's: %d), from step %d to %d",
+					before.Status, before.Revision, cmd.Revision, before.Step, c.Step)
 			case cmd.Op == OpResume && (c.Step != max(before.Step-1, 0) || c.Epoch <= before.Epoch || c.Epoch <= cmd.Epoch):
 				t.Fatalf("resume from step %d in epoch %d (command's: %d): step = %d, epoch = %d; want one step below and a higher epoch",
 					before.Step, before.Epoch, cmd.Epoch, c.Step, c.Epoch)
@@ -189,7 +190,8 @@
 			}
 		}
 		if !routed || RoutedToCanary(7, g, 0) {
-			t.Fatalf("group %d: routed at 1000 per mille: %v, at 0: %v; want true, false", g, routed, RoutedToCanary(7, g, 0))
+			t.Fatalf("group %d: routed at 1000 per mille: %v, at 0: %v; want true, false",
+				g, routed, RoutedToCanary(7, g, 0))
 		}
 	}
 	both := 0
@@ -201,7 +203,8 @@
 	counts = append(counts, both) // different salts are independent: a tenth of a tenth of the groups is in both
 	for i, w := range append(steps, 10) {
 		if want := float64(w) / 1000 * groups; float64(counts[i]) < want*0.8-5 || float64(counts[i]) > want*1.2+5 {
-			t.Errorf("at %d per mille: %d of %d groups routed to the canary, want about %.0f", w, counts[i], groups, want)
+			t.Errorf("at %d per mille: %d of %d groups routed to the canary, want about %.0f",
+				w, counts[i], groups, want)
 		}
 	}
 }
--- a/internal/drift/monitor_test.go
+++ b/internal/drift/monitor_test.go
@@ -102,7 +102,8 @@
 		}
 		monitor.Tick(now + 4001)
 		if findings := monitor.Findings(); len(findings) != 1 || findings[0].State != Unknown {
-			t.Fatalf("Findings() after 4 s without reports = %+v, want one finding with the state %v", findings, Unknown)
+			t.Fatalf("Findings() after 4 s without reports = %+v, want one finding with the state %v",
+				findings, Unknown)
 		}
 	})
 }
@@ -135,7 +136,8 @@
 		t.Fatalf("state = %v after reports of being out of sync for %d ms, want that only after %d ms", state,
 			reportedOutOfSyncFor(reports, monitor), min(int64(3000), bound))
 	case (last.state == Lagging || last.state == Ahead || last.state == Regressed) && now-since > bound+2000 && state != last.state:
-		t.Fatalf("state = %v after reports of %v for %d ms, want the reported state: the lag bound is %d ms", state, last.state, now-since, bound)
+		t.Fatalf("state = %v after reports of %v for %d ms, want the reported state: the lag bound is %d ms",
+			state, last.state, now-since, bound)
 	}
 }
 
@@ -223,7 +225,8 @@
 	}
 	quarantined := selectNames(2, nil)
 	if len(selectNames(0, nil)) != 0 || len(selectNames(-1, nil)) != 0 || len(quarantined) != 2 {
-		t.Fatalf("SelectUnfit with budgets 0, -1 and 2 = %v, %v and %v, want 0, 0 and 2 relays", selectNames(0, nil), selectNames(-1, nil), quarantined)
+		t.Fatalf("SelectUnfit with budgets 0, -1 and 2 = %v, %v and %v, want 0, 0 and 2 relays",
+			selectNames(0, nil), selectNames(-1, nil), quarantined)
 	}
 	// The drift of n4 becomes more severe, but n4 does not replace a relay in quarantine.
 	reporters[4].RecordApplied(now, Item{ItemEndpointList, 0, 9}, "file")
@@ -234,7 +237,8 @@
 	reporters[0].RecordApplied(now, Item{ItemEjections, 2, 2}, "record")
 	now = exchangeReports(monitor, reporters, now, 1)
 	if stateOf(monitor, "n0", ItemEjections) != Rejected {
-		t.Fatalf("state after one report in sync = %v, want %v until a second one", stateOf(monitor, "n0", ItemEjections), Rejected)
+		t.Fatalf("state after one report in sync = %v, want %v until a second one",
+			stateOf(monitor, "n0", ItemEjections), Rejected)
 	}
 	exchangeReports(monitor, reporters, now, 1)
 	if again := selectNames(2, quarantined); !slices.Equal(again, []string{"n1", "n4"}) {
@@ -278,7 +282,8 @@
 	monitor.RecordSighting(now, "n1", ItemEjections, "m2 got 3 flows")
 	monitor.RecordSighting(now, "n1", ItemEjections, "m2 got 4 flows")
 	if stateOf(monitor, "n1", ItemEjections) != InSync {
-		t.Fatalf("state after sightings 2 s after a change = %v, want %v", stateOf(monitor, "n1", ItemEjections), InSync)
+		t.Fatalf("state after sightings 2 s after a change = %v, want %v",
+			stateOf(monitor, "n1", ItemEjections), InSync)
 	}
 }
 
@@ -296,7 +301,8 @@
 	reporters[1].CountActivity(ItemEjections, KindRemovedMember, 2, 2)
 	exchangeReports(monitor, reporters, now, 1)
 	if stateOf(monitor, "n1", ItemEjections) != Contradicting {
-		t.Fatalf("state after two violations in one interval = %v, want %v", stateOf(monitor, "n1", ItemEjections), Contradicting)
+		t.Fatalf("state after two violations in one interval = %v, want %v",
+			stateOf(monitor, "n1", ItemEjections), Contradicting)
 	}
 }
 
@@ -352,7 +358,8 @@
 			}
 			t.Logf("%s, %d relays: %d findings in %d changes", pace.name, n, findings, agreed)
 			if float64(findings) > pace.share*float64(agreed) {
-				t.Errorf("%s, %d relays: %d findings in %d changes, want at most a share of %g; first: %s", pace.name, n, findings, agreed, pace.share, first)
+				t.Errorf("%s, %d relays: %d findings in %d changes, want at most a share of %g; first: %s",
+					pace.name, n, findings, agreed, pace.share, first)
 			}
 		}
 	}
@@ -398,7 +405,8 @@
 	mb := float64(after.HeapAlloc-before.HeapAlloc) / (1 << 20)
 	t.Logf("the monitor takes %.1f MB", mb)
 	if mb > 32 || len(monitor.History()) > MaxHistory {
-		t.Fatalf("the monitor takes %.1f MB with %d changes in the history, want at most 32 MB and %d changes", mb, len(monitor.History()), MaxHistory)
+		t.Fatalf("the monitor takes %.1f MB with %d changes in the history, want at most 32 MB and %d changes",
+			mb, len(monitor.History()), MaxHistory)
 	}
 	runtime.KeepAlive(monitor)
 }
@@ -458,7 +466,8 @@
 			monitor.HandleReport(now, reporter.NextReport(now-20_000))
 			monitor.Tick(now)
 			if s := stateOf(monitor, reporter.relay, ItemEjections); s != InSync {
-				t.Fatalf("state = %v, want %v: change applied %d s after the clock was stepped, report sent %d s after the change", s, InSync, changeAfter, k-changeAfter)
+				t.Fatalf("state = %v, want %v: change applied %d s after the clock was stepped, report sent %d s after the change",
+					s, InSync, changeAfter, k-changeAfter)
 			}
 		}
 	}
--- a/internal/drift/planted_test.go
+++ b/internal/drift/planted_test.go
@@ -91,7 +91,8 @@
 		sim.advance(90_000)
 		for key, kind := range kinds {
 			if sim.found[key] == 0 || sim.driftSince[key] == 0 {
-				t.Fatalf("seed %d: %s, planted %v: counts as drift at %d, found at %d, want both above 0", seed, key, kind, sim.driftSince[key], sim.found[key])
+				t.Fatalf("seed %d: %s, planted %v: counts as drift at %d, found at %d, want both above 0",
+					seed, key, kind, sim.driftSince[key], sim.found[key])
 			}
 			took[kind.String()] = append(took[kind.String()], sim.found[key]-sim.driftSince[key])
 			all = append(all, sim.found[key]-sim.driftSince[key])
@@ -118,7 +119,8 @@
 	for _, kind := range []State{Lagging, Rejected, Regressed, Ahead, Overridden, Contradicting} {
 		list := took[kind.String()]
 		slices.Sort(list)
-		t.Logf("%-12v %4d found: p50 %d ms, p99 %d ms, max %d ms", kind, len(list), list[len(list)/2], list[len(list)*99/100], list[len(list)-1])
+		t.Logf("%-12v %4d found: p50 %d ms, p99 %d ms, max %d ms",
+			kind, len(list), list[len(list)/2], list[len(list)*99/100], list[len(list)-1])
 	}
 	slices.Sort(all)
 	if p99 := all[len(all)*99/100]; p99 >= 3000 {
@@ -173,7 +175,8 @@
 			sim.monitor.defect = f
 			d.run(sim)
 			if found := len(sim.falseFindings) > 0; found != (f != noDefect) {
-				t.Errorf("%s: defect injected: %v, false findings: %v, want the same; first: %v", d.name, f != noDefect, found, sim.falseFindings[:min(len(sim.falseFindings), 1)])
+				t.Errorf("%s: defect injected: %v, false findings: %v, want the same; first: %v",
+					d.name, f != noDefect, found, sim.falseFindings[:min(len(sim.falseFindings), 1)])
 			}
 		}
 	}
@@ -196,7 +199,8 @@
 		least, most = min(least, rate), max(most, rate)
 	}
 	if most >= 1000 || most > 1.5*least {
-		t.Errorf("%.0f to %.0f bytes/s per relay, want less than 1000, and the most at most 1.5 times the least", least, most)
+		t.Errorf("%.0f to %.0f bytes/s per relay, want less than 1000, and the most at most 1.5 times the least",
+			least, most)
 	}
 }
 
--- a/internal/drift/simulation_test.go
+++ b/internal/drift/simulation_test.go
@@ -373,7 +373,8 @@
 			sim := newSimulation(seed, n, 16)
 			sim.disturb(minutes * 60_000 / int64(1+n/100*4))
 			if len(sim.falseFindings) > 0 {
-				t.Fatalf("seed %d, %d relays: %d findings, want none; first: %s", seed, n, len(sim.falseFindings), sim.falseFindings[0])
+				t.Fatalf("seed %d, %d relays: %d findings, want none; first: %s",
+					seed, n, len(sim.falseFindings), sim.falseFindings[0])
 			}
 			sim.advance(120_000)
 			if findings := sim.monitor.Findings(); len(findings) > 0 && !slices.ContainsFunc(sim.relays, func(s *simRelay) bool { return !s.up }) {
--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -109,7 +109,8 @@
 		return fmt.Errorf("out.headroom: must be from 0 to 10 (a share of the load), got %v", c.Disruption.SpareLoad)
 	}
 	if !(c.Disruption.MaxServiceLoss >= 0 && c.Disruption.MaxServiceLoss < 1) {
-		return fmt.Errorf("out.cost: must be at least 0 and less than 1 (a share of the service), got %v", c.Disruption.MaxServiceLoss)
+		return fmt.Errorf("out.cost: must be at least 0 and less than 1 (a share of the service), got %v",
+			c.Disruption.MaxServiceLoss)
 	}
 	if c.StartTimeoutMS < 0 {
 		return fmt.Errorf("start_ms: must not be negative, got %d", c.StartTimeoutMS)
--- a/internal/fleet/model_test.go
+++ b/internal/fleet/model_test.go
@@ -311,7 +311,8 @@
 func (m *model) requireNoFalseFindings(phase string) {
 	m.t.Helper()
 	if len(m.falseFindings) > 0 {
-		m.t.Fatalf("%s: %d drift findings that were not planted, first: %s", phase, len(m.falseFindings), m.falseFindings[0])
+		m.t.Fatalf("%s: %d drift findings that were not planted, first: %s",
+			phase, len(m.falseFindings), m.falseFindings[0])
 	}
 }
 
@@ -397,7 +398,8 @@
 				found := m.run(180_000, func() bool { return m.foundDrift[key] })
 				m.requireNoFalseFindings("planted")
 				if !found {
-					t.Fatalf("seed %d: planted drift not found within 180 s; findings %+v", seed, m.controller.driftMonitor.Findings())
+					t.Fatalf("seed %d: planted drift not found within 180 s; findings %+v",
+						seed, m.controller.driftMonitor.Findings())
 				}
 				t.Logf("drift found %.1f s after the change of leader", float64(m.now-from)/1000)
 				r.overriddenSections, r.stuckItems, r.rejectsConfig, r.program = maps.Clone(m.relays[0].overriddenSections), map[string]bool{}, false, m.relays[0].program
@@ -405,7 +407,8 @@
 				if !m.run(120_000, func() bool {
 					return m.controller.driftMonitor.FullyInSync(r.name) && m.controller.driftMonitor.StateOf(r.name, c.item) == drift.InSync
 				}) {
-					t.Fatalf("seed %d: not in sync 120 s after the repair; findings %+v", seed, m.controller.driftMonitor.Findings())
+					t.Fatalf("seed %d: not in sync 120 s after the repair; findings %+v",
+						seed, m.controller.driftMonitor.Findings())
 				}
 				delete(m.plantedDrift, key)
 				m.run(20_000, nil)
@@ -461,7 +464,8 @@
 		m.openRelease("again", rollout.ReleaseSpec{Kind: rollout.KindRelay, Names: firstHalf, Program: "p3", Config: "c3"})
 		expectOutcome("again", rollout.ReleaseCompleted, "p3 c3l", "p1 c1l", "p1 c1l")
 		if r := NewRecord(); r.Restore(1, m.leader.record.Snapshot()) != nil || string(r.Snapshot()) != string(m.leader.record.Snapshot()) || len(r.intent.PerRelay) != 3 {
-			t.Fatalf("restored snapshot differs from the record, or does not have intent of its own for 3 relays: %+v", r.intent)
+			t.Fatalf("restored snapshot differs from the record, or does not have intent of its own for 3 relays: %+v",
+				r.intent)
 		}
 		m.openRelease("rest", rollout.ReleaseSpec{Kind: rollout.KindRelay, Names: secondHalf, Program: "p3", Config: "c3"})
 		expectOutcome("rest", rollout.ReleaseCompleted, "p3 c3l", "p3 c3l", "p3 c3l")
@@ -471,7 +475,8 @@
 		m.relays[5].rejectsConfig, m.plantedDrift["n5 config.settings"] = true, drift.Rejected
 		m.openRelease("bad", rollout.ReleaseSpec{Kind: rollout.KindRelay, Names: secondHalf, Config: "c4"})
 		if m.run(60_000, func() bool { return len(m.foundDrift) > 0 }); len(m.foundDrift) == 0 {
-			t.Fatalf("seed %d: rejected configuration not found within 60 s; findings %+v", seed, m.controller.driftMonitor.Findings())
+			t.Fatalf("seed %d: rejected configuration not found within 60 s; findings %+v",
+				seed, m.controller.driftMonitor.Findings())
 		}
 		m.requireNoFalseFindings("rejected configuration")
 	}
@@ -533,13 +538,15 @@
 		m.run(9000, nil)
 		publishEachSecond(40)
 		if m.requireNoFalseFindings("restarted"); len(m.foundDrift) != 2 {
-			t.Fatalf("drift found %+v, want the lists of n4 and n5; findings %+v", m.foundDrift, m.controller.driftMonitor.Findings())
+			t.Fatalf("drift found %+v, want the lists of n4 and n5; findings %+v",
+				m.foundDrift, m.controller.driftMonitor.Findings())
 		}
 		clear(m.foundDrift)
 		m.elect(m.relays[2])
 		publishEachSecond(60)
 		if m.requireNoFalseFindings("restarted, another leader"); len(m.foundDrift) != 2 {
-			t.Fatalf("under a new leader: drift found %+v, want the lists of n4 and n5; findings %+v", m.foundDrift, m.controller.driftMonitor.Findings())
+			t.Fatalf("under a new leader: drift found %+v, want the lists of n4 and n5; findings %+v",
+				m.foundDrift, m.controller.driftMonitor.Findings())
 		}
 		setListsStuck(false)
 		m.relays[4].observed.ListGeneration, m.relays[5].observed.ListGeneration = m.listGeneration, m.listGeneration
@@ -591,7 +598,8 @@
 	if !m.run(60_000, func() bool {
 		return m.controller.driftMonitor.FullyInSync("n0") && m.controller.driftMonitor.FullyInSync("n5")
 	}) {
-		t.Fatalf("n0 and n5 not in sync with the operator's intent within 60 s; findings %+v", m.controller.driftMonitor.Findings())
+		t.Fatalf("n0 and n5 not in sync with the operator's intent within 60 s; findings %+v",
+			m.controller.driftMonitor.Findings())
 	}
 	m.requireNoFalseFindings("intent set by an operator")
 	if a := m.commit(partIntent, []byte(`{"do":"adopt","items":{"config.limits":"y"}}`)); a.Error != "" || m.leader.record.intent.Items["config.limits"][0].Value != "x" {
--- a/internal/rollout/figures_test.go
+++ b/internal/rollout/figures_test.go
@@ -42,7 +42,8 @@
 		bestMS := max(out[string(KindRelay)], out[string(KindMember)]) / 3
 		ratio := float64(sim.now-from) / float64(bestMS)
 		worst = max(worst, ratio)
-		t.Logf("seed %d: the releases took %.1f s, the shortest possible duration is %.1f s, ratio %.2f", seed, float64(sim.now-from)/1000, float64(bestMS)/1000, ratio)
+		t.Logf("seed %d: the releases took %.1f s, the shortest possible duration is %.1f s, ratio %.2f",
+			seed, float64(sim.now-from)/1000, float64(bestMS)/1000, ratio)
 	}
 	if worst > 2 {
 		t.Errorf("the slowest run took %.2f times the shortest duration that the budgets allow, want at most 2", worst)
@@ -66,5 +67,6 @@
 		durations = append(durations, time.Since(from))
 	}
 	slices.Sort(durations)
-	t.Logf("Plan with 300 relays and 300 members: median %v, maximum %v; largest command %d bytes, state %d bytes", durations[50], durations[99], largest, len(sim.state.Encode()))
+	t.Logf("Plan with 300 relays and 300 members: median %v, maximum %v; largest command %d bytes, state %d bytes",
+		durations[50], durations[99], largest, len(sim.state.Encode()))
 }
--- a/internal/rollout/model_test.go
+++ b/internal/rollout/model_test.go
@@ -140,7 +140,8 @@
 			quietTicks = -1
 		}
 		if quietTicks++; n > 500 {
-			sim.violation("the state still changes 500 ticks after all releases ended: version %d, %d proposals pending", sim.state.Version(), len(sim.pending))
+			sim.violation("the state still changes 500 ticks after all releases ended: version %d, %d proposals pending",
+				sim.state.Version(), len(sim.pending))
 			break
 		}
 	}
@@ -210,7 +211,8 @@
 				}
 			}
 			if u.OrderNumber == 0 && orderedExits > 0 {
-				sim.violation("relay %s exited by an order %d times, but its unit was never ordered to leave", u.Name, orderedExits)
+				sim.violation("relay %s exited by an order %d times, but its unit was never ordered to leave",
+					u.Name, orderedExits)
 			}
 			// Without a previous program the relay was silent for as long as a release waits for a report.
 			programUnknown = programUnknown || u.Kind == KindRelay && u.PreviousProgram == ""
@@ -222,7 +224,8 @@
 					sim.excusedUnits++
 				}
 			} else if wrong || u.Stranded || u.Phase == PhaseMissing {
-				sim.violation("release is %s, but %s runs %q (originally %q), want no stranded or missing unit and the right program: %+v", r.State, u.Name, program, originalProgram, u)
+				sim.violation("release is %s, but %s runs %q (originally %q), want no stranded or missing unit and the right program: %+v",
+					r.State, u.Name, program, originalProgram, u)
 			}
 		}
 	}
@@ -282,7 +285,8 @@
 				rolledBack.Add(1)
 			default:
 				halted.Add(1)
-				t.Logf("seed %d: release %s ended the run as %s, rolling back %v: %+v", seed, r.Name, r.State, r.RollingBack, r.Halt)
+				t.Logf("seed %d: release %s ended the run as %s, rolling back %v: %+v",
+					seed, r.Name, r.State, r.RollingBack, r.Halt)
 			}
 		}
 		return sim.violations
@@ -347,7 +351,8 @@
 			}
 		}
 		if !ok {
-			sim.violation("permits: %s was answered %+v, which does not fit the permit states %v", c.Encode(), result, states)
+			sim.violation("permits: %s was answered %+v, which does not fit the permit states %v",
+				c.Encode(), result, states)
 		}
 	}
 }
--- a/internal/rollout/quarantine_test.go
+++ b/internal/rollout/quarantine_test.go
@@ -46,7 +46,8 @@
 	reset()
 	plan(b, "n6 n2 n0 ")
 	if o := s.Orders("n6").Quarantine; o == nil || o.Reason != "late" || o.StartNumber != 5 || s.Orders("n1").Quarantine != nil {
-		t.Errorf("quarantine orders: n6 %+v, n1 %+v, want reason late and start number 5 for n6, none for n1", o, s.Orders("n1").Quarantine)
+		t.Errorf("quarantine orders: n6 %+v, n1 %+v, want reason late and start number 5 for n6, none for n1",
+			o, s.Orders("n1").Quarantine)
 	}
 	if withoutQuarantines, err := Decode([]byte(`{"version":3,"at":9,"number":1}`)); err != nil || len(withoutQuarantines.Quarantines()) > 0 {
 		t.Errorf("Decode of a state without quarantines: error %v, want a state with none", err)
@@ -81,7 +82,8 @@
 	expect(t, s, v.At, ReleaseRunning, Command{Kind: CommandResume, Name: "r"})
 	plan(b, "n6 n2 n0 ")
 	if s.Orders("n2").Leave == nil {
-		t.Errorf("unit n2 after the release resumed = %+v, want a leave order", s.record.findRelease("r").findUnit("n2"))
+		t.Errorf("unit n2 after the release resumed = %+v, want a leave order",
+			s.record.findRelease("r").findUnit("n2"))
 	}
 	// A restarted relay is readmitted, and counts as out until it is seen to serve after that. Then the next
 	// relay is quarantined.
--- a/internal/rollout/release_test.go
+++ b/internal/rollout/release_test.go
@@ -36,13 +36,15 @@
 		expect(t, s, 4, "", leaderCommand(s, CommandResume, cmp.Or(cause, HaltOverdue)))
 		needsOperator := cause == HaltVerdict || cause == ""
 		if a, _ := s.Release("r"); (a.State == ReleaseHalted) != needsOperator {
-			t.Errorf("halt cause %q: state after a resume by the leader = %s, want it halted: %v", cause, a.State, needsOperator)
+			t.Errorf("halt cause %q: state after a resume by the leader = %s, want it halted: %v",
+				cause, a.State, needsOperator)
 		}
 		if !needsOperator {
 			expect(t, s, 5, ReleaseHalted, leaderCommand(s, CommandHalt, cause))
 			s.Apply(6, "n1", leaderCommand(s, CommandResume, cause).Encode())
 			if a, _ := s.Release("r"); (a.State == ReleaseHalted) != (cause == HaltServiceDegraded || cause == HaltOverdue) {
-				t.Errorf("second halt with cause %q: state after a resume by the leader = %s, want it halted only for %q and %q", cause, a.State, HaltServiceDegraded, HaltOverdue)
+				t.Errorf("second halt with cause %q: state after a resume by the leader = %s, want it halted only for %q and %q",
+					cause, a.State, HaltServiceDegraded, HaltOverdue)
 			}
 		}
 		s.Apply(7, "n1", Command{Kind: CommandResume, Name: "r"}.Encode())
@@ -99,7 +101,8 @@
 		s.record.Releases = []release{{ReleaseStatus: ReleaseStatus{Name: "r", State: ReleaseRolledBack, RollingBack: true, Spec: ReleaseSpec{Kind: KindMember, All: true, Program: "b2"}, Units: []Unit{
 			{Name: "a", Kind: KindMember, PreviousProgram: "b1", Phase: PhaseDrained, Stranded: true, OrderNumber: 1, SeenStart: 5}}}}}
 		if plan := s.Plan(v.At, v, b); plan != nil || s.Orders("n").Exclusions["a"].Reason != "drain" {
-			t.Errorf("stranded member: Plan() = %+v, Orders(n) = %+v, want no command, and the member excluded by a drain", plan, s.Orders("n"))
+			t.Errorf("stranded member: Plan() = %+v, Orders(n) = %+v, want no command, and the member excluded by a drain",
+				plan, s.Orders("n"))
 		}
 		if reinstate {
 			expect(t, s, v.At, "", Command{Kind: CommandReinstate, Names: []string{"a"}})
@@ -109,7 +112,8 @@
 		}
 		a, _ := s.Release("r")
 		if plan := s.Plan(v.At, v, b); plan != nil || s.Orders("n").Exclusions != nil || len(s.record.plannedOut(KindMember)) > 0 || len(a.Exceptions) != 1 {
-			t.Errorf("stranded member reinstated (%v) or not in the view: Plan() = %+v, release %+v, want no command, no exclusion, nothing out and one exception", reinstate, plan, a)
+			t.Errorf("stranded member reinstated (%v) or not in the view: Plan() = %+v, release %+v, want no command, no exclusion, nothing out and one exception",
+				reinstate, plan, a)
 		}
 	}
 }
--- a/internal/rollout/service_baseline_test.go
+++ b/internal/rollout/service_baseline_test.go
@@ -34,6 +34,7 @@
 		}
 	}
 	if falseHalts > 0 || detected < 1990 {
-		t.Errorf("degraded() in 2000 runs: %d false halts, %d degradations detected, want 0 and at least 1990", falseHalts, detected)
+		t.Errorf("degraded() in 2000 runs: %d false halts, %d degradations detected, want 0 and at least 1990",
+			falseHalts, detected)
 	}
 }
--- a/internal/rollout/simulation_checks_test.go
+++ b/internal/rollout/simulation_checks_test.go
@@ -69,7 +69,8 @@
 		count(KindRelay, h.name, h.zone, h.unavailableSince, capacity)
 	}
 	if needed := c.ViewSummary.Relays.Load * (1 + sim.budgets.CapacityReserve); takesCapacity && relayCapacity < needed {
-		sim.violation("the remaining relays have capacity %.0f, want at least %.0f; out:%s", relayCapacity, needed, details)
+		sim.violation("the remaining relays have capacity %.0f, want at least %.0f; out:%s",
+			relayCapacity, needed, details)
 	}
 	for _, x := range sim.members {
 		capacity := x.capacity
@@ -102,14 +103,16 @@
 		}
 		for z, n := range outByZone {
 			if len(z) > len(kind) && z[:len(kind)] == string(kind) && n > b.zoneLimit(total[z]) {
-				sim.violation("%d are out in kind and zone %s, want at most %d; out:%s", n, z, b.zoneLimit(total[z]), details)
+				sim.violation("%d are out in kind and zone %s, want at most %d; out:%s",
+					n, z, b.zoneLimit(total[z]), details)
 			}
 		}
 		if kind == KindMember && memberCapacity < sim.load*(1+sim.budgets.CapacityReserve) {
 			for key := range newlyOut {
 				i := slices.IndexFunc(sim.members, func(x *simMember) bool { return targetKey(KindMember, x.name) == key })
 				if i >= 0 && sim.members[i].unavailableSince == 0 {
-					sim.violation("the remaining members have capacity %.0f, want at least %.0f", memberCapacity, sim.load*(1+sim.budgets.CapacityReserve))
+					sim.violation("the remaining members have capacity %.0f, want at least %.0f",
+						memberCapacity, sim.load*(1+sim.budgets.CapacityReserve))
 					break
 				}
 			}
