--- a/internal/rollout/allowance.go
+++ b/internal/rollout/allowance.go
@@ -144,8 +144,8 @@
 		a.granted[out.Name] = true
 	}
 	if plantedDefect != defectIgnoresFailures {
-		for _, lost := range s.Unavailable {
-			a.add(lost)
+		for _, unavailable := range s.Unavailable {
+			a.add(unavailable)
 		}
 	}
 	return a
--- a/internal/rollout/command.go
+++ b/internal/rollout/command.go
@@ -51,7 +51,7 @@
 
 // Causes of a readmission by the leader.
 const (
-	readmitGone      Cause = "gone"    // the relay is not in the view any more
+	readmitLeftView  Cause = "gone"    // the relay is not in the view any more
 	readmitRestarted Cause = "started" // the relay runs a later process than the one that drifted
 	readmitFit       Cause = "fit"     // the relay no longer drifts
 )
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -188,7 +188,7 @@
 		switch {
 		case q.ReadmittedVersion != 0 || r != nil && !r.reporting(p.budgets):
 		case r == nil:
-			cause = readmitGone
+			cause = readmitLeftView
 		case r.StartNumber > q.StartNumber:
 			cause = readmitRestarted
 		case !unfit && p.now-q.Since >= p.budgets.SilentAfterMS:
--- a/internal/rollout/plan_step.go
+++ b/internal/rollout/plan_step.go
@@ -117,7 +117,7 @@
 	if r.Spec.FirstAlone && r.State == ReleaseRunning && !r.firstDone() && r.hasUnitOut() {
 		return nil
 	}
-	var available, lost []*Unit
+	var available, unavailable []*Unit
 	zone, zoneFound := "", false // with ZoneByZone: the zone of the first unit that is pending or out
 	for i := range r.Units {
 		u := &r.Units[i]
@@ -128,7 +128,7 @@
 			continue
 		}
 		if p.allowanceFor(u.Kind).out[u.currentName()] && u.ejectionChange() >= 0 {
-			lost = append(lost, u)
+			unavailable = append(unavailable, u)
 		} else {
 			available = append(available, u)
 		}
@@ -136,9 +136,9 @@
 	if r.State == ReleaseRollingBack {
 		latestFirst := func(x, y *Unit) int { return cmp.Compare(y.OrderNumber, x.OrderNumber) }
 		slices.SortStableFunc(available, latestFirst)
-		slices.SortStableFunc(lost, latestFirst)
+		slices.SortStableFunc(unavailable, latestFirst)
 	}
-	return append(available, lost...)
+	return append(available, unavailable...)
 }
 
 // firstDone reports whether a unit of the release is done.
