--- a/internal/canary/split.go
+++ b/internal/canary/split.go
@@ -13,7 +13,8 @@
 	return position < uint64(perMille)
 }
 
-// mix spreads a number over all 64 bits (the finalizer of splitmix64), so that neighbouring groups get unrelated positions.
+// mix spreads a number over all 64 bits, so that neighbouring groups get unrelated positions. It is the
+// finalizer of splitmix64.
 func mix(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
--- a/internal/drift/monitor.go
+++ b/internal/drift/monitor.go
@@ -33,10 +33,12 @@
 	relays   map[string]*relayState
 	sorted   []*relayState // by name
 
-	lags        map[string]*lagEstimate // by group
-	fleetLag    *lagEstimate            // over all groups; the prior for groups with few samples
-	recoveryLag *lagEstimate            // of relays that restarted or were silent: from their next report until an item was in sync
-	arrivals    map[Item]*arrivalCount  // by name and version
+	lags     map[string]*lagEstimate // by group
+	fleetLag *lagEstimate            // over all groups; the prior for groups with few samples
+	// recoveryLag is for relays that restarted or were silent: the time from their next report until an
+	// item was in sync.
+	recoveryLag *lagEstimate
+	arrivals    map[Item]*arrivalCount // by name and version
 
 	pendingChanges []Change // since the last Tick
 	history        []Change
--- a/internal/drift/types.go
+++ b/internal/drift/types.go
@@ -58,8 +58,10 @@
 	Source          string // where the version came from: the record, a file, an operator's call, ...
 	RejectReason    string // why the relay rejected RejectedVersion; "" if there is none
 	RejectedVersion uint64 // 0 if no version was rejected since the last one was applied
-	Progress        uint64 // rises while the relay works on the next version, so that a slow relay is not taken for a stuck one
-	LocalOverride   bool   // an operator's call at that relay changed the item
+	// Progress rises while the relay works on the next version, so that a slow relay is not taken for a
+	// stuck one.
+	Progress      uint64
+	LocalOverride bool // an operator's call at that relay changed the item
 }
 
 // empty reports whether the relay neither runs nor has rejected any version of the item.
--- a/internal/fleet/intent.go
+++ b/internal/fleet/intent.go
@@ -14,9 +14,10 @@
 
 // Limits of intent.
 const (
-	maxIntentItems  = 48                   // includes the configuration sections; leaves room for a relay's other drift items
-	maxFormerValues = 3                    // stored per item, to recognize a relay that went back to one of them
-	maxIntentValue  = rollout.MaxNameBytes // bytes
+	maxIntentItems  = 48 // includes the configuration sections; leaves room for a relay's other drift items
+	maxFormerValues = 3  // stored per item, to recognize a relay that went back to one of them
+
+	maxIntentValue = rollout.MaxNameBytes // bytes
 )
 
 // intent is what relays should run where no order says otherwise: the program, and the configuration
--- a/internal/rollout/allowance.go
+++ b/internal/rollout/allowance.go
@@ -189,7 +189,7 @@
 }
 
 // reserve counts a relay or member as out, or returns why it may not go out. One that is already
-// unavailable uses up nothing more of the limits, and may go out unless a limit is exceeded already.
+// unavailable counts against the limits already, and may go out unless a limit is exceeded.
 func (a *allowance) reserve(name, zone string, capacity float64) string {
 	if a.granted[name] {
 		return name + " is out already"
--- a/internal/rollout/plan_halt.go
+++ b/internal/rollout/plan_halt.go
@@ -51,9 +51,9 @@
 	return "", ""
 }
 
-// resumeCommand returns the command that resumes the first halted release whose cause of the halt no
-// longer applies, unless only an operator may resume it. No release resumes within SilentAfterMS of its
-// halt: failures that go on are seen by then.
+// resumeCommand returns the command that resumes the first halted release to which the cause of its halt
+// no longer applies, unless only an operator may resume it. No release resumes within SilentAfterMS of its
+// halt, so that failures that continue are seen first.
 func (p *planner) resumeCommand() *Command {
 	for i := range p.record.Releases {
 		r := &p.record.Releases[i]
--- a/internal/rollout/plan_observe.go
+++ b/internal/rollout/plan_observe.go
@@ -61,7 +61,7 @@
 		return Observation{Phase: PhasePending}, p.present(u) && !p.isGranted(u)
 	}
 	if u.Stranded && u.isOut() && r.ended() && !p.present(u) {
-		return Observation{Phase: PhaseMissing}, true // it is not expected back
+		return Observation{Phase: PhaseMissing}, true // the unit is not expected to return
 	}
 	if u.Phase == PhaseDone && r.Spec.Drain && u.Kind == KindMember {
 		return Observation{Phase: PhaseDrained, SeenStart: u.SeenStart}, p.present(u)
@@ -84,8 +84,8 @@
 	if plantedDefect == defectTrustsOwnReport {
 		inService = relay.Phase == relayServing
 	}
-	// A quarantined relay takes no clients and counts as out for that reason. To be back from a revoked
-	// order it only has to report that it is not draining.
+	// A quarantined relay takes no clients and counts as out for that reason. For its revoked order to end,
+	// it only has to report that it is not draining.
 	if q := p.record.findQuarantine(u.Name); u.Phase == PhaseRevoked && q != nil && !q.InService {
 		inService = relay.reporting(p.budgets) && (relay.Phase == relayServing || relay.Phase == relayQuarantined)
 	}
--- a/internal/rollout/release_test.go
+++ b/internal/rollout/release_test.go
@@ -165,8 +165,8 @@
 	}
 }
 
-// TestSuccessorIsNotUnavailable checks that a successor with a new name does not count as unavailable in addition to
-// the member that it replaces, which would halt the release.
+// TestSuccessorIsNotUnavailable checks that a successor with a new name does not count as unavailable in
+// addition to the member that it replaces, which would halt the release.
 func TestSuccessorIsNotUnavailable(t *testing.T) {
 	b := Budgets{SilentAfterMS: 100, ViewMaxAgeMS: 100, DrainTimeoutMS: 1000, StartTimeoutMS: 1000, WarmupMS: 1000, PermitWindowMS: 100}
 	v := View{At: 1000, Relays: []Relay{{Name: "n", InService: true}}, Members: []Member{{Name: "a.1", Started: 990, Capacity: 1, UsableCapacity: 0.3}, {Name: "b", Capacity: 1, UsableCapacity: 1}}}
