--- a/internal/fleet/model_test.go
+++ b/internal/fleet/model_test.go
@@ -311,7 +311,8 @@
 func (m *model) requireNoFalseFindings(phase string) {
 	m.t.Helper()
 	if len(m.falseFindings) > 0 {
-		m.t.Fatalf("%s: %d drift findings that were not planted, first: %s", phase, len(m.falseFindings), m.falseFindings[0])
+		m.t.Fatalf("%s: %d drift findings that were not planted, first: %s",
+			phase, len(m.falseFindings), m.falseFindings[0])
 	}
 }
 
@@ -340,7 +341,8 @@
 		plant func(m *model, r *modelRelay)
 	}{
 		{drift.ItemProgram, drift.Ahead, func(m *model, r *modelRelay) { r.program = "other"; m.start(r) }},
-		{drift.ItemProgram, drift.Lagging, func(m *model, r *modelRelay) { // the relay goes back to the previous program
+		{drift.ItemProgram, drift.Lagging, func(m *model, r *modelRelay) {
+			// The relay goes back to the previous program.
 			for _, x := range m.relays {
 				x.program = map[bool]string{false: "p2", true: "p1"}[x == r]
 				m.start(x)
@@ -396,7 +398,8 @@
 				found := m.run(180_000, func() bool { return m.foundDrift[key] })
 				m.requireNoFalseFindings("planted")
 				if !found {
-					t.Fatalf("seed %d: planted drift not found within 180 s; findings %+v", seed, m.controller.driftMonitor.Findings())
+					t.Fatalf("seed %d: planted drift not found within 180 s; findings %+v",
+						seed, m.controller.driftMonitor.Findings())
 				}
 				t.Logf("drift found %.1f s after the change of leader", float64(m.now-from)/1000)
 				r.overriddenSections, r.stuckItems, r.rejectsConfig, r.program = maps.Clone(m.relays[0].overriddenSections), map[string]bool{}, false, m.relays[0].program
@@ -404,7 +407,8 @@
 				if !m.run(120_000, func() bool {
 					return m.controller.driftMonitor.FullyInSync(r.name) && m.controller.driftMonitor.StateOf(r.name, c.item) == drift.InSync
 				}) {
-					t.Fatalf("seed %d: not in sync 120 s after the repair; findings %+v", seed, m.controller.driftMonitor.Findings())
+					t.Fatalf("seed %d: not in sync 120 s after the repair; findings %+v",
+						seed, m.controller.driftMonitor.Findings())
 				}
 				delete(m.plantedDrift, key)
 				m.run(20_000, nil)
@@ -460,7 +464,8 @@
 		m.openRelease("again", rollout.ReleaseSpec{Kind: rollout.KindRelay, Names: firstHalf, Program: "p3", Config: "c3"})
 		expectOutcome("again", rollout.ReleaseCompleted, "p3 c3l", "p1 c1l", "p1 c1l")
 		if r := NewRecord(); r.Restore(1, m.leader.record.Snapshot()) != nil || string(r.Snapshot()) != string(m.leader.record.Snapshot()) || len(r.intent.PerRelay) != 3 {
-			t.Fatalf("restored snapshot differs from the record, or has not 3 relays with their own intent: %+v", r.intent)
+			t.Fatalf("restored snapshot differs from the record, or does not have intent of its own for 3 relays: %+v",
+				r.intent)
 		}
 		m.openRelease("rest", rollout.ReleaseSpec{Kind: rollout.KindRelay, Names: secondHalf, Program: "p3", Config: "c3"})
 		expectOutcome("rest", rollout.ReleaseCompleted, "p3 c3l", "p3 c3l", "p3 c3l")
@@ -470,12 +475,13 @@
 		m.relays[5].rejectsConfig, m.plantedDrift["n5 config.settings"] = true, drift.Rejected
 		m.openRelease("bad", rollout.ReleaseSpec{Kind: rollout.KindRelay, Names: secondHalf, Config: "c4"})
 		if m.run(60_000, func() bool { return len(m.foundDrift) > 0 }); len(m.foundDrift) == 0 {
-			t.Fatalf("seed %d: rejected configuration not found within 60 s; findings %+v", seed, m.controller.driftMonitor.Findings())
+			t.Fatalf("seed %d: rejected configuration not found within 60 s; findings %+v",
+				seed, m.controller.driftMonitor.Findings())
 		}
 		m.requireNoFalseFindings("rejected configuration")
 	}
 	if r := NewRecord(); r.Restore(1, []byte(`{"held":{},"rollout":{},"canary":{}}`)) != nil || len(r.intent.Items) > 0 {
-		t.Fatal("a snapshot of a version without intent cannot be restored, or has intent afterwards")
+		t.Fatalf("restored snapshot of a version without intent: intent %+v, want no error and no items", r.intent)
 	}
 }
 
@@ -532,13 +538,15 @@
 		m.run(9000, nil)
 		publishEachSecond(40)
 		if m.requireNoFalseFindings("restarted"); len(m.foundDrift) != 2 {
-			t.Fatalf("drift found %+v, want the lists of n4 and n5; findings %+v", m.foundDrift, m.controller.driftMonitor.Findings())
+			t.Fatalf("drift found %+v, want the lists of n4 and n5; findings %+v",
+				m.foundDrift, m.controller.driftMonitor.Findings())
 		}
 		clear(m.foundDrift)
 		m.elect(m.relays[2])
 		publishEachSecond(60)
 		if m.requireNoFalseFindings("restarted, another leader"); len(m.foundDrift) != 2 {
-			t.Fatalf("under a new leader: drift found %+v, want the lists of n4 and n5; findings %+v", m.foundDrift, m.controller.driftMonitor.Findings())
+			t.Fatalf("under a new leader: drift found %+v, want the lists of n4 and n5; findings %+v",
+				m.foundDrift, m.controller.driftMonitor.Findings())
 		}
 		setListsStuck(false)
 		m.relays[4].observed.ListGeneration, m.relays[5].observed.ListGeneration = m.listGeneration, m.listGeneration
@@ -561,8 +569,8 @@
 }
 
 // TestModelBaseline: a value that only half of the relays run does not become intent. A value that more
-// relays run does after a while, and the other relays then drift. A single relay's configuration
-// becomes intent by an operator's command.
+// than half run becomes intent after a while, and the other relays then count as drifted. A single
+// relay's configuration becomes intent by an operator's command.
 func TestModelBaseline(t *testing.T) {
 	m := newModel(t, 1, 6)
 	for i := range 3 {
@@ -590,11 +598,13 @@
 	if !m.run(60_000, func() bool {
 		return m.controller.driftMonitor.FullyInSync("n0") && m.controller.driftMonitor.FullyInSync("n5")
 	}) {
-		t.Fatalf("n0 and n5 not in sync with the operator's intent within 60 s; findings %+v", m.controller.driftMonitor.Findings())
+		t.Fatalf("n0 and n5 not in sync with the operator's intent within 60 s; findings %+v",
+			m.controller.driftMonitor.Findings())
 	}
 	m.requireNoFalseFindings("intent set by an operator")
 	if a := m.commit(partIntent, []byte(`{"do":"adopt","items":{"config.limits":"y"}}`)); a.Error != "" || m.leader.record.intent.Items["config.limits"][0].Value != "x" {
-		t.Fatal("a late command of the controller was rejected, or changed existing intent")
+		t.Fatalf("late command of the controller: error %q, intent of config.limits %+v, want no error and an unchanged value x",
+			a.Error, m.leader.record.intent.Items["config.limits"])
 	}
 	for _, bad := range []string{`{"do":"adopt","items":{"bans":"y"}}`, `{"do":"x"}`, `{"do":"adopt","items":{"program":"` + strings.Repeat("y", 200) + `"}}`,
 		`{"do":"adopt","release":"none"}`, `[`} {
@@ -604,9 +614,9 @@
 	}
 }
 
-// TestModelQuarantine: half of the fleet drifts, and two relays may be out of service. Never are more
-// out, under two leaders and while a release restarts all relays, which repairs them. A repaired relay
-// takes clients again, and all relays do once QuarantineDrifted is off.
+// TestModelQuarantine: half of the fleet drifts, and two relays may be out of service. At no time are
+// more than two out, although the leader changes and a release restarts all relays, which repairs them.
+// A repaired relay takes clients again, and all relays do once QuarantineDrifted is off.
 func TestModelQuarantine(t *testing.T) {
 	for seed := range seedCount(4) {
 		m := settledModel(t, seed, 8)
@@ -652,7 +662,8 @@
 		restoredRelay = ""
 		m.relays[5].overriddenSections["limits"] = "mine"
 		requireWithin("one relay in quarantine again", 120_000, func() bool { return countOut() == 1 })
-		m.openRelease("drain", rollout.ReleaseSpec{Kind: rollout.KindMember, Drain: true, Names: []string{"m1"}}) // a relay in quarantine does not block it
+		// A relay in quarantine does not block the drain.
+		m.openRelease("drain", rollout.ReleaseSpec{Kind: rollout.KindMember, Drain: true, Names: []string{"m1"}})
 		requireWithin("member drained", 10_000, func() bool { return len(m.leader.record.rollout.Orders("").Exclusions) > 0 })
 		m.quarantineDrifted = false
 		requireWithin("all relays readmitted without QuarantineDrifted", 60_000, func() bool { return countOut() == 0 })
--- a/internal/rollout/model_test.go
+++ b/internal/rollout/model_test.go
@@ -123,7 +123,8 @@
 	sim.runUntilSettled(600, CommandResume)
 	sim.runUntilSettled(1000, CommandRollBack)
 	if sim.state.record.findRelease("drain") != nil {
-		sim.call(Command{Kind: CommandRollBack, Name: "drain"}) // it may have blocked other releases that must roll back
+		// The drain may have blocked other releases that must roll back.
+		sim.call(Command{Kind: CommandRollBack, Name: "drain"})
 	}
 	if sim.state.record.findRelease("bans") != nil {
 		sim.call(Command{Kind: CommandRollBack, Name: "bans"})
@@ -139,7 +140,8 @@
 			quietTicks = -1
 		}
 		if quietTicks++; n > 500 {
-			sim.violation("the state still changes 500 ticks after all releases ended: version %d, %d proposals pending", sim.state.Version(), len(sim.pending))
+			sim.violation("the state still changes 500 ticks after all releases ended: version %d, %d proposals pending",
+				sim.state.Version(), len(sim.pending))
 			break
 		}
 	}
@@ -204,24 +206,26 @@
 			for _, x := range sim.members {
 				if u.Kind == KindMember && x.name == u.currentName() {
 					program, originalProgram = x.program, x.originalProgram
-					// It does not report its program and crashed before its owner replaced it.
+					// The member does not report its program and crashed before its owner replaced it.
 					programUnknown = !x.reportsProgram && x.lastOrder != u.OrderNumber
 				}
 			}
 			if u.OrderNumber == 0 && orderedExits > 0 {
-				sim.violation("relay %s exited by an order %d times, but its unit was never ordered to leave", u.Name, orderedExits)
+				sim.violation("relay %s exited by an order %d times, but its unit was never ordered to leave",
+					u.Name, orderedExits)
 			}
 			// Without a previous program the relay was silent for as long as a release waits for a report.
 			programUnknown = programUnknown || u.Kind == KindRelay && u.PreviousProgram == ""
 			wrong := r.State == ReleaseRolledBack && program != originalProgram || r.State == ReleaseCompleted && program != r.Spec.Program
 			if sim.checkedUnits++; sim.hadFaults && (programUnknown || u.Phase == PhaseMissing || u.Successor != "" && !strings.HasPrefix(u.Successor, u.Name)) {
-				// It was down until all other units were done, and is listed as missing; or a member that was
-				// down when the units were set was taken for its successor.
+				// The unit was down until all other units were done, and is listed as missing; or a member that
+				// was down when the units were set was mistaken for the unit's successor.
 				if wrong {
 					sim.excusedUnits++
 				}
 			} else if wrong || u.Stranded || u.Phase == PhaseMissing {
-				sim.violation("release is %s, but %s runs %q (originally %q), want no stranded or missing unit and the right program: %+v", r.State, u.Name, program, originalProgram, u)
+				sim.violation("release is %s, but %s runs %q (originally %q), want no stranded or missing unit and the right program: %+v",
+					r.State, u.Name, program, originalProgram, u)
 			}
 		}
 	}
@@ -281,7 +285,8 @@
 				rolledBack.Add(1)
 			default:
 				halted.Add(1)
-				t.Logf("seed %d: release %s ended the run as %s, rolling back %v: %+v", seed, r.Name, r.State, r.RollingBack, r.Halt)
+				t.Logf("seed %d: release %s ended the run as %s, rolling back %v: %+v",
+					seed, r.Name, r.State, r.RollingBack, r.Halt)
 			}
 		}
 		return sim.violations
@@ -346,7 +351,8 @@
 			}
 		}
 		if !ok {
-			sim.violation("permits: %s was answered %+v, which does not fit the permit states %v", c.Encode(), result, states)
+			sim.violation("permits: %s was answered %+v, which does not fit the permit states %v",
+				c.Encode(), result, states)
 		}
 	}
 }
--- a/internal/rollout/plan_step.go
+++ b/internal/rollout/plan_step.go
@@ -8,8 +8,8 @@
 // stepCommand returns the step that grants what may go out now, or nil. Permits come first, because their
 // requesters wait outside the fleet, then releases in the order in which they were opened. Once a
 // release has waited for half of maxOutMS, releases come first, so that a steady flow of permits cannot
-// block them. Stalled holds, by release, why none of its units may go out, for releases that wait for no
-// unit to come back.
+// block them. Stalled has, by release, the reason why none of its units may go out. Releases that wait for a
+// unit to return to service are not in it.
 func (p *planner) stepCommand() (step *Command, stalled map[string]string) {
 	step = &Command{Kind: CommandStep, BaseVersion: p.record.Version, ViewSummary: p.viewSummary()}
 	stalled = map[string]string{}
@@ -117,7 +117,7 @@
 	if r.Spec.FirstAlone && r.State == ReleaseRunning && !r.firstDone() && r.hasUnitOut() {
 		return nil
 	}
-	var available, lost []*Unit
+	var available, unavailable []*Unit
 	zone, zoneFound := "", false // with ZoneByZone: the zone of the first unit that is pending or out
 	for i := range r.Units {
 		u := &r.Units[i]
@@ -128,7 +128,7 @@
 			continue
 		}
 		if p.allowanceFor(u.Kind).out[u.currentName()] && u.ejectionChange() >= 0 {
-			lost = append(lost, u)
+			unavailable = append(unavailable, u)
 		} else {
 			available = append(available, u)
 		}
@@ -136,9 +136,9 @@
 	if r.State == ReleaseRollingBack {
 		latestFirst := func(x, y *Unit) int { return cmp.Compare(y.OrderNumber, x.OrderNumber) }
 		slices.SortStableFunc(available, latestFirst)
-		slices.SortStableFunc(lost, latestFirst)
+		slices.SortStableFunc(unavailable, latestFirst)
 	}
-	return append(available, lost...)
+	return append(available, unavailable...)
 }
 
 // firstDone reports whether a unit of the release is done.
--- a/internal/rollout/release_test.go
+++ b/internal/rollout/release_test.go
@@ -36,13 +36,15 @@
 		expect(t, s, 4, "", leaderCommand(s, CommandResume, cmp.Or(cause, HaltOverdue)))
 		needsOperator := cause == HaltVerdict || cause == ""
 		if a, _ := s.Release("r"); (a.State == ReleaseHalted) != needsOperator {
-			t.Errorf("halt cause %q: state after a resume by the leader = %s, want it halted: %v", cause, a.State, needsOperator)
+			t.Errorf("halt cause %q: state after a resume by the leader = %s, want it halted: %v",
+				cause, a.State, needsOperator)
 		}
 		if !needsOperator {
 			expect(t, s, 5, ReleaseHalted, leaderCommand(s, CommandHalt, cause))
 			s.Apply(6, "n1", leaderCommand(s, CommandResume, cause).Encode())
 			if a, _ := s.Release("r"); (a.State == ReleaseHalted) != (cause == HaltServiceDegraded || cause == HaltOverdue) {
-				t.Errorf("second halt with cause %q: state after a resume by the leader = %s, want it halted only for %q and %q", cause, a.State, HaltServiceDegraded, HaltOverdue)
+				t.Errorf("second halt with cause %q: state after a resume by the leader = %s, want it halted only for %q and %q",
+					cause, a.State, HaltServiceDegraded, HaltOverdue)
 			}
 		}
 		s.Apply(7, "n1", Command{Kind: CommandResume, Name: "r"}.Encode())
@@ -89,8 +91,9 @@
 	}
 }
 
-// TestStranded checks that a stranded member counts as out until it is back as it was, is gone, or an
-// operator accepts it as it is, and that it is listed as an exception once.
+// TestStranded checks that a stranded member counts as out until it is back in service with its previous
+// program, has left the view, or is accepted by an operator as it is, and that it is listed as an exception
+// once.
 func TestStranded(t *testing.T) {
 	b := Budgets{SilentAfterMS: 100, ViewMaxAgeMS: 100, DrainTimeoutMS: 100, StartTimeoutMS: 100, PermitWindowMS: 100}
 	for _, reinstate := range []bool{false, true} {
@@ -98,7 +101,8 @@
 		s.record.Releases = []release{{ReleaseStatus: ReleaseStatus{Name: "r", State: ReleaseRolledBack, RollingBack: true, Spec: ReleaseSpec{Kind: KindMember, All: true, Program: "b2"}, Units: []Unit{
 			{Name: "a", Kind: KindMember, PreviousProgram: "b1", Phase: PhaseDrained, Stranded: true, OrderNumber: 1, SeenStart: 5}}}}}
 		if plan := s.Plan(v.At, v, b); plan != nil || s.Orders("n").Exclusions["a"].Reason != "drain" {
-			t.Errorf("stranded member: Plan() = %+v, Orders(n) = %+v, want no command, and the member excluded by a drain", plan, s.Orders("n"))
+			t.Errorf("stranded member: Plan() = %+v, Orders(n) = %+v, want no command, and the member excluded by a drain",
+				plan, s.Orders("n"))
 		}
 		if reinstate {
 			expect(t, s, v.At, "", Command{Kind: CommandReinstate, Names: []string{"a"}})
@@ -108,7 +112,8 @@
 		}
 		a, _ := s.Release("r")
 		if plan := s.Plan(v.At, v, b); plan != nil || s.Orders("n").Exclusions != nil || len(s.record.plannedOut(KindMember)) > 0 || len(a.Exceptions) != 1 {
-			t.Errorf("stranded member reinstated (%v) or gone: Plan() = %+v, release %+v, want no command, no exclusion, nothing out and one exception", reinstate, plan, a)
+			t.Errorf("stranded member reinstated (%v) or not in the view: Plan() = %+v, release %+v, want no command, no exclusion, nothing out and one exception",
+				reinstate, plan, a)
 		}
 	}
 }
@@ -160,9 +165,9 @@
 	}
 }
 
-// TestSuccessorIsNotLost checks that a successor with a new name does not count as unavailable in addition to
-// the member that it replaces, which would halt the release.
-func TestSuccessorIsNotLost(t *testing.T) {
+// TestSuccessorIsNotUnavailable checks that a successor with a new name does not count as unavailable in
+// addition to the member that it replaces, which would halt the release.
+func TestSuccessorIsNotUnavailable(t *testing.T) {
 	b := Budgets{SilentAfterMS: 100, ViewMaxAgeMS: 100, DrainTimeoutMS: 1000, StartTimeoutMS: 1000, WarmupMS: 1000, PermitWindowMS: 100}
 	v := View{At: 1000, Relays: []Relay{{Name: "n", InService: true}}, Members: []Member{{Name: "a.1", Started: 990, Capacity: 1, UsableCapacity: 0.3}, {Name: "b", Capacity: 1, UsableCapacity: 1}}}
 	s := New()
