--- a/internal/consensus/calls.go
+++ b/internal/consensus/calls.go
@@ -22,7 +22,7 @@
 		return nil, 0, ErrTooLarge
 	}
 	r := n.callWithRetry(ctx, command, false)
-	return r.answer, r.index, r.err
+	return r.result, r.index, r.err
 }
 
 // Barrier returns once this relay has applied everything that was committed before the call. It needs a
@@ -173,7 +173,7 @@
 func encodeCallResult(r callResult) []byte {
 	switch {
 	case r.err == nil:
-		return putBytes(putUints([]byte{codeOK}, r.index), r.answer)
+		return putBytes(putUints([]byte{codeOK}, r.index), r.result)
 	case errors.Is(r.err, errNoLeader):
 		return []byte{codeNoLeader}
 	case errors.Is(r.err, ErrQueueFull):
@@ -189,7 +189,7 @@
 	switch response[0] {
 	case codeOK:
 		r := reader{rest: response[1:]}
-		result := callResult{index: r.uint(), answer: r.bytes()}
+		result := callResult{index: r.uint(), result: r.bytes()}
 		if r.finish() != nil {
 			result.err = ErrOutcomeUnknown
 		}
--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -95,7 +95,7 @@
 	dialAddresses map[string]map[string]string
 	faults        map[string]func(string) error
 	onReport      func(from string, report []byte) []byte
-	onReply       func(at, from, answer string)
+	onReply       func(at, from, reply string)
 }
 
 var loopbackHosts atomic.Uint32
@@ -139,9 +139,9 @@
 		f.addrs[name] = freeAddr(f.t)
 	}
 	m := &hashMachine{}
-	onReply := func(from string, answer []byte) {
+	onReply := func(from string, reply []byte) {
 		if f.onReply != nil {
-			f.onReply(name, from, string(answer))
+			f.onReply(name, from, string(reply))
 		}
 	}
 	n, err := startWithFaults(Options{Name: name, Voters: f.voters, DialAddresses: f.dialAddresses[name], Listen: f.addrs[name], Dir: f.dirs[name], Keys: f.keys, Machine: m, OnReport: f.onReport, OnReply: onReply}, f.faults[name])
--- a/internal/consensus/model_test.go
+++ b/internal/consensus/model_test.go
@@ -262,7 +262,7 @@
 }
 
 func (w *world) apply(n *modelNode, entry committedEntry) {
-	answer, ok := n.applier.apply(entry)
+	result, ok := n.applier.apply(entry)
 	if !ok {
 		return
 	}
@@ -270,7 +270,7 @@
 	if entry.kind == entryCommand {
 		w.committedIndexes[entry.proposalID] = entry.index
 	}
-	n.pendingCalls.completeApplied(entry.index, entry.proposalID, answer)
+	n.pendingCalls.completeApplied(entry.index, entry.proposalID, result)
 	if n.core != nil && n.applier.snapshotDue() {
 		n.ownSnapshot, n.ownSnapshotEncoded = n.applier.takeSnapshot()
 	}
@@ -727,7 +727,7 @@
 		case r.err == nil && in.write:
 			w.counts["acked"]++
 			w.ackedIndexes[pid] = r.index
-			finish(opOut{true, binary.BigEndian.Uint64(r.answer)}, true)
+			finish(opOut{true, binary.BigEndian.Uint64(r.result)}, true)
 		case r.err == nil: // a read: it waits until this node has applied the barrier's index, and reads here
 			incarnation := n.incarnation
 			var wait func()
--- a/internal/consensus/pending_calls.go
+++ b/internal/consensus/pending_calls.go
@@ -20,7 +20,7 @@
 }
 
 type callResult struct {
-	answer []byte
+	result []byte
 	index  uint64
 	err    error
 }
@@ -49,8 +49,8 @@
 }
 
 // completeApplied completes the call of an applied proposal with its result.
-func (p *pendingCalls) completeApplied(index uint64, id proposalID, answer []byte) {
-	p.completeCommitted(index, id, callResult{answer: answer, index: index})
+func (p *pendingCalls) completeApplied(index uint64, id proposalID, result []byte) {
+	p.completeCommitted(index, id, callResult{result: result, index: index})
 }
 
 // completeSkipped completes the call of a proposal whose entry was already applied from a stream
--- a/internal/consensus/reports_test.go
+++ b/internal/consensus/reports_test.go
@@ -35,10 +35,10 @@
 		}
 		return report
 	}
-	f.onReply = func(at, from, answer string) {
-		recordCall(at, "got reply", answer)
-		recordCall(at, "got reply", answer, "by", from)
-		if answer == "blocked" {
+	f.onReply = func(at, from, reply string) {
+		recordCall(at, "got reply", reply)
+		recordCall(at, "got reply", reply, "by", from)
+		if reply == "blocked" {
 			<-releaseBlocked
 		}
 	}
