--- a/internal/consensus/apply_loop.go
+++ b/internal/consensus/apply_loop.go
@@ -2,7 +2,7 @@
 
 const applyQueueSize = 64 // batches
 
-// applyBatch is work for the apply loop: a snapshot, or entries after it.
+// applyBatch is work for the apply loop: a snapshot, entries, or a snapshot and the entries after it.
 type applyBatch struct {
 	snapshot *recordSnapshot
 	entries  []committedEntry
--- a/internal/consensus/client.go
+++ b/internal/consensus/client.go
@@ -21,8 +21,9 @@
 	maxCallAttempts = 4 // of one request, if the receiver rejects its epoch or start
 )
 
-// errNotSent means that no relay has acted on a request: it was not sent, or was rejected unread. The
-// text can reach an operator in the HTTP response to a replacement of a voter.
+// errNotSent means that no relay has acted on a request: it was not sent, or the receiver rejected its
+// epoch or start without handling its body. The text can reach an operator in the HTTP response to a
+// replacement of a voter.
 var errNotSent = errors.New("not sent")
 
 // invalidResponseError means that a relay's response has no valid authentication tag or is empty. The text
@@ -63,7 +64,8 @@
 	return &client{node: n, http: &http.Client{Transport: transport}, start: uint64(time.Now().UnixMilli())<<20 + randomID()>>42, epochs: map[string]uint64{}}
 }
 
-// response is a response whose body is unread, with the request's tag and start.
+// response is an HTTP response whose body is neither read nor verified yet, with the tag and the start
+// of its request.
 type response struct {
 	io.ReadCloser
 	tag   []byte
--- a/internal/consensus/core.go
+++ b/internal/consensus/core.go
@@ -12,12 +12,12 @@
 // Raft's parameters. Without a leader, a voter starts an election after a random number of ticks
 // between electionTicks and twice that. docs/design/consensus.md lists the resulting times.
 const (
-	heartbeatTicks      = 2  // of tickInterval each
-	electionTicks       = 12 // of tickInterval each
-	maxMessageSize      = 256 << 10
-	maxInflightMessages = 64
-	maxUncommittedSize  = 8 << 20 // bytes of proposed entries that are not committed yet
-	maxCommittedSize    = 1 << 20 // bytes of committed entries in one Ready
+	heartbeatTicks      = 2         // of tickInterval each
+	electionTicks       = 12        // of tickInterval each
+	maxMessageSize      = 256 << 10 // bytes of entries in one append message
+	maxInflightMessages = 64        // append messages that a voter has not acknowledged yet
+	maxUncommittedSize  = 8 << 20   // bytes of proposed entries that are not committed yet
+	maxCommittedSize    = 1 << 20   // bytes of committed entries in one Ready
 )
 
 // errOutdatedDirectory means that the voter must not vote with this directory: it lacks entries or terms
--- a/internal/consensus/disk_checksum.go
+++ b/internal/consensus/disk_checksum.go
@@ -6,7 +6,7 @@
 	"hash/fnv"
 )
 
-const checksumSize = 4
+const checksumSize = 4 // bytes
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
--- a/internal/consensus/disk_pages.go
+++ b/internal/consensus/disk_pages.go
@@ -10,7 +10,7 @@
 
 // The format of a bbolt file (version 2), which is read here without bbolt. The reader checks that each page
 // it reaches is within the file, has its own number in its header, is reached only once and contains all of
-// its elements, and that a bucket's keys ascend.
+// its elements, and that a bucket's keys ascend. The sizes are in bytes.
 const (
 	pageHeaderSize = 16 // page number, kind, number of elements, number of overflow pages
 	elementSize    = 16
--- a/internal/consensus/engine.go
+++ b/internal/consensus/engine.go
@@ -15,7 +15,7 @@
 	messageQueueSize = 1024 // batches of messages that wait for the engine
 	callQueueSize    = 256
 	maxBatch         = 64 // messages or calls handled together, so that one write serves many
-	maxCatchUpTicks  = 4  // ticks that are made up for after a pause of the process, at most
+	maxCatchUpTicks  = 4  // maximum number of missed ticks that are made up for after a pause of the process
 )
 
 // engine runs a core on one goroutine and the writes to its disk on another.
--- a/internal/consensus/engine_view.go
+++ b/internal/consensus/engine_view.go
@@ -8,9 +8,11 @@
 
 // engineView is a copy of the engine's state for other goroutines.
 type engineView struct {
-	isLeader, unverified      bool
-	inJointConfig             bool
-	leader, term, commitIndex uint64 // leader is 0 if none is known, or while the disk fails
+	isLeader, unverified bool
+	inJointConfig        bool
+	// leader is 0 if none is known, while the disk fails, and if it is this voter before
+	// engine.noLeadershipUntilTick.
+	leader, term, commitIndex uint64
 	firstIndex, lastIndex     uint64
 	snapshotIndex             uint64
 	snapshotSize              int
--- a/internal/consensus/entry.go
+++ b/internal/consensus/entry.go
@@ -9,7 +9,7 @@
 	entryVoters  entryKind = 2
 )
 
-const proposalIDSize = 16
+const proposalIDSize = 16 // bytes
 
 // proposalID identifies a proposal. It consists of its node's random part and a sequence number.
 type proposalID [proposalIDSize]byte
--- a/internal/consensus/envelope.go
+++ b/internal/consensus/envelope.go
@@ -18,7 +18,7 @@
 // its body and returns the current epoch, so that a request recorded before a restart is not accepted after
 // it. Within an epoch, each sequence number of a sender's start is accepted once (replayGuard). The start
 // identifies the sender's process; requests with a lower start than the last one are rejected. The receiver
-// reads no clock.
+// reads no clock. The sizes are in bytes.
 const (
 	envelopeVersion   = 2
 	keyIDSize         = 4
--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -63,7 +63,7 @@
 	identityReason      string
 	duplicateNames      []string
 	role                string
-	bootstrapID         uint64 // the record for whose bootstrap by another voter this relay is reserved; 0 for none
+	bootstrapID         uint64 // ID of the record that another voter bootstraps, if this relay is reserved for it; 0 otherwise
 	bootstrapReservedAt time.Time
 	dropped             map[string]uint64
 	rejected            map[string]uint64
--- a/internal/consensus/peer_status.go
+++ b/internal/consensus/peer_status.go
@@ -23,7 +23,7 @@
 	hasQuorum                        bool        // this relay runs an engine that knows a leader
 }
 
-// handlePeerStatus answers a request for this relay's status. A bootstrap id other than 0 also
+// handlePeerStatus answers a request for this relay's status. A bootstrap ID other than 0 also
 // reserves this relay for that bootstrap.
 func (n *Node) handlePeerStatus(body []byte) []byte {
 	r := reader{rest: body}
--- a/internal/consensus/pending_calls.go
+++ b/internal/consensus/pending_calls.go
@@ -11,6 +11,7 @@
 	byIndex map[uint64]*pendingCall
 }
 
+// pendingCall is a proposal or a barrier.
 type pendingCall struct {
 	id      proposalID
 	command []byte
@@ -19,6 +20,8 @@
 	done    chan callResult // has capacity for the result
 }
 
+// callResult is the outcome of a call: an error, the machine's result and the index of the proposal's
+// entry, or the read index of a barrier.
 type callResult struct {
 	result []byte
 	index  uint64
--- a/internal/consensus/replay_guard.go
+++ b/internal/consensus/replay_guard.go
@@ -92,6 +92,7 @@
 	g.restarts[name]++
 }
 
+// noteOwnRestart counts an increase of this relay's own start.
 func (g *replayGuard) noteOwnRestart(name string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/consensus/status.go
+++ b/internal/consensus/status.go
@@ -35,7 +35,7 @@
 	droppedReports         = "said"        // this relay's reports: its queue was full
 	droppedUndelivered     = "unheard"     // batches of this relay's reports: no voter accepted them
 	droppedIncomingReports = "heard"       // reports at the leader: its queue was full
-	droppedUnanswered      = "unanswered"  // requests with reports: no wait for the replies, or a time-out
+	droppedUnanswered      = "unanswered"  // requests with reports: maxReplyWaiters wait already, or the replies take too long
 	droppedReplySize       = "answersize"  // replies: larger than MaxReplySize
 	droppedReplies         = "told"        // replies to this relay: its queue was full
 )
@@ -61,7 +61,7 @@
 	Term               uint64
 	Applied, Committed uint64
 	LogFirst, LogLast  uint64 // indexes that the voter's log holds
-	LogBytes           int
+	LogBytes           int    // estimated memory size of the recently applied entries
 	SnapshotIndex      uint64
 	SnapshotBytes      int
 	HasQuorum          bool      `json:"Majority"` // a leader with a quorum is known, here or at the voter whose stream is followed
--- a/internal/consensus/stream_follower.go
+++ b/internal/consensus/stream_follower.go
@@ -81,14 +81,16 @@
 // streamFollower follows one voter's stream.
 type streamFollower struct {
 	node               *Node
-	source, preferred  voter
+	source             voter // the voter that sends the stream
+	preferred          voter // the first of otherVoters
 	preferredCheckedAt time.Time
 	leaderlessSince    time.Time // when the source lost its quorum; zero while it has one
 }
 
-// run follows the stream until the stream fails or falls silent, until its source has had no quorum
-// for streamTimeout, or until the preferred voter is healthy again. Without this return to the
-// preferred voter, all followers would stay with the voter that was up first.
+// run follows the stream until the stream fails, no frame arrives for streamTimeout, its source has
+// had no quorum for streamTimeout, this node's engine knows a leader, or the preferred voter is healthy
+// again. Without the return to the preferred voter, all followers would stay with the voter that was up
+// first.
 func (f *streamFollower) run() error {
 	n := f.node
 	ctx, cancel := context.WithCancel(n.ctx)
@@ -184,7 +186,7 @@
 	return errMalformed
 }
 
-// Reasons to end a stream that did not fail in favour of another voter's.
+// Reasons to switch from a stream that did not fail to another voter's.
 var (
 	errPreferredBack    = errors.New("the preferred voter is healthy again")
 	errSourceLeaderless = errors.New("the followed voter knows no leader")
