--- a/internal/gossip/envelope.go
+++ b/internal/gossip/envelope.go
@@ -65,7 +65,7 @@
 
 // An envelope consists of the version, the key ID, the sender's start time, sequence number and
 // clock, the length of its name, the name, the content and the authentication tag. A later version
-// could add a signature of the sender after the tag.
+// could add a signature of the sender after the tag. The sizes are in bytes.
 const (
 	envelopeVersion = 1
 	keyIDSize       = 4
--- a/internal/gossip/membership.go
+++ b/internal/gossip/membership.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// MaxPeers is the maximum number of relays that are tracked, however many other relays claim exist.
+// MaxPeers is the maximum number of relays that are tracked, even if other relays report more.
 const MaxPeers = 1024
 
 // never is the due time of a task that is not scheduled.
@@ -102,9 +102,8 @@
 }
 
 // Counts returns how many relays are alive or suspect, this one included, and how many are certain to
-// be down.
-// A relay is certain to be down if this relay has received a datagram from it before, and it has
-// announced that it leaves or its address has refused a connection.
+// be down. A relay is certain to be down if this relay has received a datagram from it before, and it
+// has announced that it leaves or its address has refused a connection.
 func (m *Membership) Counts() (live, down int) {
 	live = 1
 	for _, p := range m.peers {
@@ -131,8 +130,9 @@
 	return live[:min(n, len(live))]
 }
 
-// merge applies an update if it is newer than the current one. FromItself tells that the relay that
-// the update is about has sent it.
+// merge applies an update if it is newer than the current one. An update of the same incarnation and
+// state can still confirm a suspicion or, if fromItself is true, change the generation, flows and rate.
+// fromItself is true if the update was sent by the relay that it is about.
 func (m *Membership) merge(now time.Duration, u Update, fromItself bool) {
 	if u.Name == m.self.Name {
 		m.refute(now, u)
@@ -181,8 +181,9 @@
 
 const (
 	// goneRetention is how long a relay that left or is gone stays in the table, so that an old
-	// update does not bring it back.
+	// update does not add it again.
 	goneRetention = 2 * time.Minute
+	// deadRetention is the same for a dead relay, which may be partitioned away.
 	deadRetention = 10 * time.Minute
 )
 
--- a/internal/gossip/observations.go
+++ b/internal/gossip/observations.go
@@ -57,8 +57,8 @@
 	numSubjects
 )
 
-// ObservationWindow counts the outcomes that this relay saw during the last windowSpan to twice
-// windowSpan. It does no I/O; the time is passed in.
+// ObservationWindow counts the outcomes that this relay saw during the last windowSpan at least, and
+// during the last two at most. It does no I/O; the time is passed in.
 type ObservationWindow struct {
 	rotatedAt         time.Duration
 	current, previous [numSubjects]map[string]*outcomeCounts
--- a/internal/gossip/suspicion.go
+++ b/internal/gossip/suspicion.go
@@ -11,8 +11,8 @@
 	// has to refute the suspicion once maxAccusers further relays have confirmed it. A group of
 	// fewer than six live relays needs fewer confirmations, one of up to three needs none.
 	minSuspicion = 800 * time.Millisecond
-	// maxSuspicionFactor times as long is the time a suspect has while confirmations are needed and
-	// there are none.
+	// maxSuspicionFactor times as long is the time that a suspect has before any further relay has
+	// confirmed the suspicion, if confirmations are needed.
 	maxSuspicionFactor = 2.5
 	maxAccusers        = 3 // besides the first one
 	maxAwareness       = 4
