--- a/internal/consensus/envelope_test.go
+++ b/internal/consensus/envelope_test.go
@@ -45,6 +45,7 @@
 	})
 }
 
+// FuzzEnvelope checks that verifyRequest accepts only requests that sealRequest returns for the same fields.
 func FuzzEnvelope(f *testing.F) {
 	keys := [][]byte{[]byte("key one"), []byte("key two")}
 	good, _ := sealRequest(keys[1], 4, 5, 6, requestReport, "from", "to", []byte("body"))
@@ -62,6 +63,9 @@
 	})
 }
 
+// TestEnvelope checks which epochs, starts and sequence numbers the replay guard admits, that an altered
+// request and one for another relay are rejected, and that a response is valid only for its request and
+// part.
 func TestEnvelope(t *testing.T) {
 	keys := [][]byte{[]byte("key one"), []byte("key two")}
 	guard := replayGuard{epoch: 4}
--- a/internal/consensus/fault_test.go
+++ b/internal/consensus/fault_test.go
@@ -10,6 +10,9 @@
 	"time"
 )
 
+// TestLeaderClosedAndMajorityLost closes the leader of three voters and then its successor. With two
+// voters commands are committed; with one, calls fail with ErrNoQuorum and commit nothing, until the
+// closed voters are started again.
 func TestLeaderClosedAndMajorityLost(t *testing.T) {
 	t.Parallel()
 	f := newCluster(t, 3, true)
--- a/internal/consensus/figures_test.go
+++ b/internal/consensus/figures_test.go
@@ -69,6 +69,7 @@
 	}
 }
 
+// process is the process of a relay. It runs TestRelayProcess.
 type process struct {
 	cmd *exec.Cmd
 	in  io.Writer
@@ -182,7 +183,7 @@
 					if u := p.usage(); u.Votes {
 						n++
 						if u.IdentityReason != "" {
-							t.Errorf("a killed voter came back under a new identity: %s", u.IdentityReason)
+							t.Errorf("a killed voter has a new identity after its restart, want its old one; reason: %s", u.IdentityReason)
 						}
 					}
 				}
--- a/internal/consensus/model_test.go
+++ b/internal/consensus/model_test.go
@@ -195,7 +195,7 @@
 	return w
 }
 
-// start starts a node with what its disk holds.
+// start starts a node from the content of its disk.
 func (w *world) start(n *modelNode) {
 	n.incarnation++
 	n.up, n.paused, n.pausedEvents, n.writing, n.core = true, false, nil, nil, nil
@@ -749,7 +749,8 @@
 	})
 }
 
-// call makes a call at the leader, here or by forwarding it. It was forwarded hops times already.
+// call makes a call at the leader, either at n itself or by forwarding it. hops is how many times the
+// call has been forwarded so far.
 func (w *world) call(n *modelNode, pid proposalID, in opIn, hops int, reply func(callResult)) {
 	if n.core != nil && n.core.isLeader() {
 		call := &pendingCall{id: pid, barrier: !in.write, done: make(chan callResult, 1)}
@@ -800,7 +801,8 @@
 // runModel runs the model with a seed. The failure of the returned world is empty if all checks pass.
 func runModel(seed uint64, configure func(*world)) (w *world) {
 	old := crand.Reader
-	crand.Reader = rand.NewChaCha8([32]byte{byte(seed), byte(seed >> 8), byte(seed >> 16), 1}) // raft draws its election time-outs from it
+	// raft draws its election timeouts from crypto/rand.
+	crand.Reader = rand.NewChaCha8([32]byte{byte(seed), byte(seed >> 8), byte(seed >> 16), 1})
 	defer func() { crand.Reader = old }()
 	w = newModel(seed, 3+2*int(seed%2), 2)
 	if configure != nil {
--- a/internal/consensus/reports_test.go
+++ b/internal/consensus/reports_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// TestReports checks that reports reach the leader and replies come back, also through another voter,
-// and that a slow callback or a full queue at one relay does not delay the other relays.
+// TestReports checks that reports reach the leader and replies reach the senders, also through another
+// voter, and that a slow callback or a full queue at one relay does not delay the other relays.
 func TestReports(t *testing.T) {
 	t.Parallel()
 	var mu sync.Mutex
@@ -45,7 +45,8 @@
 	f.startVoters()
 	f.propose("v0", "a")
 	leader := f.leader()
-	f.dialAddresses["r0"] = map[string]string{leader: freeAddr(t)} // nothing listens there: all reports of r0 go through another voter
+	// Nothing listens at this address of the leader: all reports of r0 go through another voter.
+	f.dialAddresses["r0"] = map[string]string{leader: freeAddr(t)}
 	f.start("r0")
 	send := func(name, report string) {
 		if err := f.nodes[name].Report([]byte(report)); err != nil && !errors.Is(err, ErrQueueFull) {
--- a/internal/consensus/stored_test.go
+++ b/internal/consensus/stored_test.go
@@ -12,6 +12,7 @@
 
 // TestStoredFormsDataDir opens a voter's directory that release 63fa232 wrote, with one voter and three
 // committed commands. The file is read completely, and opened with its identity, hard state and entries.
+// The stored commit index is 1, since a commit index that changes alone is not written to disk.
 func TestStoredFormsDataDir(t *testing.T) {
 	written, err := os.ReadFile(filepath.Join("testdata", "head", databaseFile))
 	if err != nil {
--- a/internal/gossip/membership_test.go
+++ b/internal/gossip/membership_test.go
@@ -196,7 +196,7 @@
 				detail := ""
 				for _, nd := range w.nodes {
 					live, down := nd.Counts()
-					detail += fmt.Sprintf(" n%d(up %v) %d live %d down /%.1f;", nd.at, nd.up, live, down, nd.divisor.current)
+					detail += fmt.Sprintf(" n%d (up %v): %d live, %d down, divisor %.1f;", nd.at, nd.up, live, down, nd.divisor.current)
 				}
 				t.Fatalf("seed %d at %v: the relays use %.2f of the budget, want at most 1.33:%s", seed, w.now, sum, detail)
 			}
--- a/internal/gossip/network_test.go
+++ b/internal/gossip/network_test.go
@@ -33,7 +33,7 @@
 
 type node struct {
 	*Membership
-	at                 int
+	at                 int // its index in network.nodes
 	up                 bool
 	stopped            bool // simulates SIGSTOP
 	queuedWhileStopped []event
@@ -46,8 +46,8 @@
 	order       int
 	to, from    int
 	incarnation uint64 // of the receiving node; 0 if the event is for any incarnation
-	bytes       []byte // the datagram; nil for a tick
-	refusal     []byte
+	bytes       []byte // the datagram; nil for a tick or a refusal
+	refusal     []byte // an encoded message with an update about the relay that refused a connection; otherwise nil
 }
 
 type events []event
@@ -64,7 +64,8 @@
 	return x
 }
 
-const tickEvery = 20 * time.Millisecond
+// minTickInterval is the minimum time between two ticks of a node.
+const minTickInterval = 20 * time.Millisecond
 
 func newNetwork(seed uint64, n int) *network {
 	w := &network{rng: rand.New(rand.NewPCG(seed, 9)), now: time.Hour, partitioned: func(int, int) bool { return false }}
@@ -88,7 +89,7 @@
 	self := Update{Name: name(i), Addr: addr(i), Zone: "z" + strconv.Itoa(i%3), Incarnation: nd.incarnation << 20, Phase: Serving}
 	nd.Membership = New(w.now, self, []string{addr(0), addr(len(w.nodes) - 1)}, rand.New(rand.NewPCG(w.rng.Uint64(), uint64(i))))
 	nd.divisor = BudgetDivisor{Configured: len(w.nodes)}
-	nd.divisor.Update(w.now, 1, 0) // like the service, before any peer is known
+	nd.divisor.Update(w.now, 1, 0) // like package gossiptransport, before any peer is known
 	w.push(event{at: w.now, to: i, incarnation: nd.incarnation})
 }
 
@@ -164,7 +165,7 @@
 					}
 				}
 			}
-			w.push(event{at: max(min(nd.NextTick(), w.now+time.Second), w.now+tickEvery), to: e.to, incarnation: nd.incarnation})
+			w.push(event{at: max(min(nd.NextTick(), w.now+time.Second), w.now+minTickInterval), to: e.to, incarnation: nd.incarnation})
 		}
 	}
 	w.now = until
@@ -193,7 +194,7 @@
 			}
 			p := a.peers[name(b.at)]
 			if b.up != (p != nil && p.State == Alive) && !(p == nil && !b.up) && !(p != nil && !b.up && p.State >= Dead) {
-				return fmt.Sprintf("n%d takes n%d (up %v) for %+v", a.at, b.at, b.up, p)
+				return fmt.Sprintf("n%d sees n%d (up %v) as %+v", a.at, b.at, b.up, p)
 			}
 		}
 	}
