--- a/internal/consensus/engine_disk.go
+++ b/internal/consensus/engine_disk.go
@@ -20,7 +20,8 @@
 func (e *engine) writeDone(err error) {
 	if err != nil {
 		if e.diskError == nil {
-			e.node.log().WithField("error", err.Error()).Error("consensus: writing to the disk failed: this voter does not vote until its file is rewritten")
+			e.node.log().WithField("error", err.Error()).
+				Error("consensus: writing to the disk failed: this voter does not vote until its file is rewritten")
 		}
 		e.diskError, e.diskRetryAt = err, time.Now().Add(diskRetryInterval)
 		e.publishView()
--- a/internal/consensus/lifecycle.go
+++ b/internal/consensus/lifecycle.go
@@ -140,7 +140,8 @@
 		n.resetIdentity(d, e.err.Error())
 	default:
 		n.setEngineError(e.err)
-		n.log().WithField("error", fmt.Sprint(e.err)).Error("consensus: the engine failed: this relay does not vote until it is restarted")
+		n.log().WithField("error", fmt.Sprint(e.err)).
+			Error("consensus: the engine failed: this relay does not vote until it is restarted")
 	}
 }
 
--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -63,7 +63,7 @@
 	identityReason      string
 	duplicateNames      []string
 	role                string
-	bootstrapID         uint64 // ID of the record that another voter bootstraps, if this relay is reserved for it; 0 otherwise
+	bootstrapID         uint64 // the record for whose bootstrap another voter has reserved this relay; 0 for none
 	bootstrapReservedAt time.Time
 	dropped             map[string]uint64
 	rejected            map[string]uint64
@@ -103,7 +103,8 @@
 	n := newNode(o, injectFault)
 	n.address = listener.Addr().String()
 	if o.Dir == "" {
-		n.log().Warn("consensus: no directory is configured: this relay loses the record when its process ends, and a voter restarts under a new identity; if a majority of voters end at once, the record is lost")
+		n.log().Warn("consensus: no directory is configured: this relay loses the record when its process ends, " +
+			"and a voter restarts under a new identity; if a majority of voters end at once, the record is lost")
 	}
 	n.startGoroutines(&countingListener{listener, &n.bytesIn, &n.bytesOut})
 	return n, nil
--- a/internal/consensus/replay_guard.go
+++ b/internal/consensus/replay_guard.go
@@ -24,7 +24,8 @@
 var (
 	errWrongEpoch = errors.New("request: wrong epoch: sealed for another process of the receiver")
 	errStaleStart = errors.New("request: the sender's start is lower than one already received")
-	errReplayed   = gossip.NewRejectError(gossip.ReasonReplayed, "request: sequence number was received before, or is behind the replay window")
+	errReplayed   = gossip.NewRejectError(gossip.ReasonReplayed,
+		"request: sequence number was received before, or is behind the replay window")
 )
 
 // replayGuard rejects requests that were received before. It remembers at most maxSenders senders.
--- a/internal/consensus/status.go
+++ b/internal/consensus/status.go
@@ -35,7 +35,7 @@
 	droppedReports         = "said"        // this relay's reports: its queue was full
 	droppedUndelivered     = "unheard"     // batches of this relay's reports: no voter accepted them
 	droppedIncomingReports = "heard"       // reports at the leader: its queue was full
-	droppedUnanswered      = "unanswered"  // requests with reports: maxReplyWaiters wait already, or the replies take too long
+	droppedUnanswered      = "unanswered"  // requests with reports: maxReplyWaiters wait already, or a time-out
 	droppedReplySize       = "answersize"  // replies: larger than MaxReplySize
 	droppedReplies         = "told"        // replies to this relay: its queue was full
 )
@@ -60,20 +60,24 @@
 	Identity           uint64 // of this relay's directory; a voter's raft id
 	Term               uint64
 	Applied, Committed uint64
-	LogFirst, LogLast  uint64 // indexes that the voter's log holds
+	LogFirst, LogLast  uint64 // first and last index in the voter's log
 	LogBytes           int    // estimated memory size of the recently applied entries
 	SnapshotIndex      uint64
 	SnapshotBytes      int
-	HasQuorum          bool      `json:"Majority"` // a leader with a quorum is known, here or at the voter whose stream is followed
-	QuorumSince        time.Time `json:"Since"`    // when HasQuorum last changed
-	StreamSource       string    `json:"Follows"`  // the voter whose stream is followed, if any
-	Voters             map[string]string
-	VotersIndex        uint64 `json:"VotersAt"` // the index at which these voters were committed; 0 for those of the bootstrap
-	BytesIn, BytesOut  uint64 // of HTTP connections, headers included
-	Dropped            map[string]uint64
-	Rejected           map[string]uint64 `json:"Refused"` // requests rejected by the envelope check, by reason
-	DiskError          string            `json:"Disk"`    // the disk's last error; "" if it works
-	EngineError        string            `json:"Engine"`  // why the engine failed, or what blocks a change of voters; "" if neither
+	// HasQuorum is true if a leader with a quorum is known, here or at the voter whose stream is
+	// followed.
+	HasQuorum    bool      `json:"Majority"`
+	QuorumSince  time.Time `json:"Since"`   // when HasQuorum last changed
+	StreamSource string    `json:"Follows"` // the voter whose stream is followed, if any
+	Voters       map[string]string
+	// VotersIndex is the index at which these voters were committed; 0 for those of the bootstrap.
+	VotersIndex       uint64 `json:"VotersAt"`
+	BytesIn, BytesOut uint64 // of HTTP connections, headers included
+	Dropped           map[string]uint64
+	Rejected          map[string]uint64 `json:"Refused"` // requests rejected before they were handled, by reason
+	DiskError         string            `json:"Disk"`    // the disk's last error; "" if it works
+	// EngineError says why the engine failed, or what blocks a change of voters. It is empty if neither.
+	EngineError string `json:"Engine"`
 	// DuplicateNames are the names, this relay's own included, under which two relays seem to send or
 	// one relay restarts repeatedly, as seen in the last seconds.
 	DuplicateNames []string `json:"Twins"`
--- a/internal/gossip/envelope.go
+++ b/internal/gossip/envelope.go
@@ -38,7 +38,8 @@
 	ErrTooOld = NewRejectError(ReasonTooOld, "envelope: sent by an earlier process of the sender, or delayed too long")
 	// ErrReplayed: the sequence number was received before, or is too far behind the highest one
 	// to tell.
-	ErrReplayed = NewRejectError(ReasonReplayed, "envelope: sequence number was received before, or is behind the replay window")
+	ErrReplayed = NewRejectError(ReasonReplayed,
+		"envelope: sequence number was received before, or is behind the replay window")
 	// ErrNameConflict: two processes with the same relay name are sending from different addresses.
 	ErrNameConflict = NewRejectError(ReasonNameConflict, "envelope: two processes send under the same relay name")
 )
