--- a/internal/consensus/model_test.go
+++ b/internal/consensus/model_test.go
@@ -195,7 +195,7 @@
 	return w
 }
 
-// start starts a node with what its disk holds.
+// start starts a node from the content of its disk.
 func (w *world) start(n *modelNode) {
 	n.incarnation++
 	n.up, n.paused, n.pausedEvents, n.writing, n.core = true, false, nil, nil, nil
@@ -262,7 +262,7 @@
 }
 
 func (w *world) apply(n *modelNode, entry committedEntry) {
-	answer, ok := n.applier.apply(entry)
+	result, ok := n.applier.apply(entry)
 	if !ok {
 		return
 	}
@@ -270,7 +270,7 @@
 	if entry.kind == entryCommand {
 		w.committedIndexes[entry.proposalID] = entry.index
 	}
-	n.pendingCalls.completeApplied(entry.index, entry.proposalID, answer)
+	n.pendingCalls.completeApplied(entry.index, entry.proposalID, result)
 	if n.core != nil && n.applier.snapshotDue() {
 		n.ownSnapshot, n.ownSnapshotEncoded = n.applier.takeSnapshot()
 	}
@@ -562,7 +562,8 @@
 						return
 					}
 					if n.core.isOutdatedBy(m) {
-						w.fail("verification found the directory of %s outdated, but it is complete: another voter knows %v, the directory holds %v", n.name, m, n.core.ownPosition())
+						w.fail("verification found the directory of %s outdated, but it is complete: another voter knows %v, the directory holds %v",
+							n.name, m, n.core.ownPosition())
 					}
 					n.verifiedBy[id] = true
 					if len(n.verifiedBy) == w.voters-1 || len(n.verifiedBy) >= w.voters/2 && w.now-n.startedAt > verifyTimeout {
@@ -727,7 +728,7 @@
 		case r.err == nil && in.write:
 			w.counts["acked"]++
 			w.ackedIndexes[pid] = r.index
-			finish(opOut{true, binary.BigEndian.Uint64(r.answer)}, true)
+			finish(opOut{true, binary.BigEndian.Uint64(r.result)}, true)
 		case r.err == nil: // a read: it waits until this node has applied the barrier's index, and reads here
 			incarnation := n.incarnation
 			var wait func()
@@ -749,7 +750,8 @@
 	})
 }
 
-// call makes a call at the leader, here or by forwarding it. It was forwarded hops times already.
+// call makes a call at the leader, either at n itself or by forwarding it. hops is how many times the
+// call has been forwarded so far.
 func (w *world) call(n *modelNode, pid proposalID, in opIn, hops int, reply func(callResult)) {
 	if n.core != nil && n.core.isLeader() {
 		call := &pendingCall{id: pid, barrier: !in.write, done: make(chan callResult, 1)}
@@ -800,7 +802,8 @@
 // runModel runs the model with a seed. The failure of the returned world is empty if all checks pass.
 func runModel(seed uint64, configure func(*world)) (w *world) {
 	old := crand.Reader
-	crand.Reader = rand.NewChaCha8([32]byte{byte(seed), byte(seed >> 8), byte(seed >> 16), 1}) // raft draws its election time-outs from it
+	// raft draws its election timeouts from crypto/rand.
+	crand.Reader = rand.NewChaCha8([32]byte{byte(seed), byte(seed >> 8), byte(seed >> 16), 1})
 	defer func() { crand.Reader = old }()
 	w = newModel(seed, 3+2*int(seed%2), 2)
 	if configure != nil {
--- a/internal/consensus/pending_calls.go
+++ b/internal/consensus/pending_calls.go
@@ -11,6 +11,7 @@
 	byIndex map[uint64]*pendingCall
 }
 
+// pendingCall is a proposal or a barrier.
 type pendingCall struct {
 	id      proposalID
 	command []byte
@@ -19,8 +20,10 @@
 	done    chan callResult // has capacity for the result
 }
 
+// callResult is the outcome of a call: an error, the machine's result and the index of the proposal's
+// entry, or the read index of a barrier.
 type callResult struct {
-	answer []byte
+	result []byte
 	index  uint64
 	err    error
 }
@@ -49,8 +52,8 @@
 }
 
 // completeApplied completes the call of an applied proposal with its result.
-func (p *pendingCalls) completeApplied(index uint64, id proposalID, answer []byte) {
-	p.completeCommitted(index, id, callResult{answer: answer, index: index})
+func (p *pendingCalls) completeApplied(index uint64, id proposalID, result []byte) {
+	p.completeCommitted(index, id, callResult{result: result, index: index})
 }
 
 // completeSkipped completes the call of a proposal whose entry was already applied from a stream
--- a/internal/consensus/stored_test.go
+++ b/internal/consensus/stored_test.go
@@ -12,6 +12,7 @@
 
 // TestStoredFormsDataDir opens a voter's directory that release 63fa232 wrote, with one voter and three
 // committed commands. The file is read completely, and opened with its identity, hard state and entries.
+// The stored commit index is 1, since a commit index that changes alone is not written to disk.
 func TestStoredFormsDataDir(t *testing.T) {
 	written, err := os.ReadFile(filepath.Join("testdata", "head", databaseFile))
 	if err != nil {
@@ -23,7 +24,8 @@
 	}
 	const identity = 4286738726500800039
 	if loaded.identity != identity || loaded.hardState.GetTerm() != 2 || loaded.hardState.GetCommit() != 1 {
-		t.Errorf("loadFile: identity %d, hard state %v, want identity %d, term 2, commit index 1", loaded.identity, loaded.hardState, uint64(identity))
+		t.Errorf("loadFile: identity %d, hard state %v, want identity %d, term 2, commit index 1",
+			loaded.identity, loaded.hardState, uint64(identity))
 	}
 	var commands []string
 	for _, e := range loaded.entries {
@@ -49,6 +51,7 @@
 		t.Fatal(err)
 	}
 	if opened.identity != identity || len(opened.entries) != len(loaded.entries) {
-		t.Errorf("open: identity %d with %d entries, want %d with %d as read by loadFile", opened.identity, len(opened.entries), uint64(identity), len(loaded.entries))
+		t.Errorf("open: identity %d with %d entries, want %d with %d as read by loadFile",
+			opened.identity, len(opened.entries), uint64(identity), len(loaded.entries))
 	}
 }
--- a/internal/gossip/envelope.go
+++ b/internal/gossip/envelope.go
@@ -38,7 +38,8 @@
 	ErrTooOld = NewRejectError(ReasonTooOld, "envelope: sent by an earlier process of the sender, or delayed too long")
 	// ErrReplayed: the sequence number was received before, or is too far behind the highest one
 	// to tell.
-	ErrReplayed = NewRejectError(ReasonReplayed, "envelope: sequence number was received before, or is behind the replay window")
+	ErrReplayed = NewRejectError(ReasonReplayed,
+		"envelope: sequence number was received before, or is behind the replay window")
 	// ErrNameConflict: two processes with the same relay name are sending from different addresses.
 	ErrNameConflict = NewRejectError(ReasonNameConflict, "envelope: two processes send under the same relay name")
 )
@@ -65,7 +66,7 @@
 
 // An envelope consists of the version, the key ID, the sender's start time, sequence number and
 // clock, the length of its name, the name, the content and the authentication tag. A later version
-// could add a signature of the sender after the tag.
+// could add a signature of the sender after the tag. The sizes are in bytes.
 const (
 	envelopeVersion = 1
 	keyIDSize       = 4
--- a/internal/gossip/membership_test.go
+++ b/internal/gossip/membership_test.go
@@ -172,7 +172,8 @@
 	}
 	t.Logf("bytes/s per relay by group size: %v", rate)
 	if rate[200] > 2*rate[10] || rate[50] > 1500 {
-		t.Errorf("bytes/s per relay by group size = %v, want at 200 relays at most twice that at 10, and at 50 at most 1500", rate)
+		t.Errorf("bytes/s per relay by group size = %v, want at 200 relays at most twice that at 10, and at 50 at most 1500",
+			rate)
 	}
 }
 
@@ -196,7 +197,7 @@
 				detail := ""
 				for _, nd := range w.nodes {
 					live, down := nd.Counts()
-					detail += fmt.Sprintf(" n%d(up %v) %d live %d down /%.1f;", nd.at, nd.up, live, down, nd.divisor.current)
+					detail += fmt.Sprintf(" n%d (up %v): %d live, %d down, divisor %.1f;", nd.at, nd.up, live, down, nd.divisor.current)
 				}
 				t.Fatalf("seed %d at %v: the relays use %.2f of the budget, want at most 1.33:%s", seed, w.now, sum, detail)
 			}
