--- a/internal/scenario/compare.go
+++ b/internal/scenario/compare.go
@@ -54,12 +54,12 @@
 	return mean, variance
 }
 
-// Quantile returns the value below which the fraction part of all values lie, or 0 if there are no
+// Quantile returns the value below which the given fraction of all values lies, or 0 if there are no
 // values. It sorts the values in place.
-func Quantile(all []float64, part float64) float64 {
+func Quantile(all []float64, fraction float64) float64 {
 	if len(all) == 0 {
 		return 0
 	}
 	sort.Float64s(all)
-	return all[min(int(part*float64(len(all))), len(all)-1)]
+	return all[min(int(fraction*float64(len(all))), len(all)-1)]
 }
--- a/internal/scenario/judge_test.go
+++ b/internal/scenario/judge_test.go
@@ -55,20 +55,20 @@
 		record func(j *Judge)
 		rule   Rule
 	}{
-		"idempotent request repeated":                             {Effect{}, func(j *Judge) { j.playAttempt(0, false); j.playAttempt(900*ms, false) }, ""},
-		"repeated within the idempotency window":                  {window, func(j *Judge) { j.playAttempt(0, false); j.playAttempt(500*ms, false) }, ""},
-		"repeated after the idempotency window":                   {window, func(j *Judge) { j.playAttempt(1, false); j.playAttempt(600*ms, false) }, DisallowedRepeat},
-		"repeated after the window, first attempt rejected":       {window, func(j *Judge) { j.playAttempt(1, true); j.playAttempt(600*ms, false) }, ""},
-		"non-idempotent request repeated":                         {Effect{Kind: NonIdempotent}, func(j *Judge) { j.playAttempt(1, false); j.playAttempt(600*ms, false) }, DisallowedRepeat},
-		"non-idempotent request repeated, first attempt rejected": {Effect{Kind: NonIdempotent}, func(j *Judge) { j.playAttempt(1, true); j.playAttempt(600*ms, false) }, ""},
-		"BUSY for a request that may have run":                    {Effect{Kind: NonIdempotent}, func(j *Judge) { j.playAttempt(1, false); j.AnswerReceived(600*ms, "a", "BUSY 5") }, WrongRejection},
-		"BUSY for a request that members rejected":                {Effect{Kind: NonIdempotent}, func(j *Judge) { j.playAttempt(1, true); j.AnswerReceived(600*ms, "a", "BUSY 5") }, ""},
-		"ERR for a request that may have run":                     {Effect{Kind: NonIdempotent}, func(j *Judge) { j.playAttempt(1, false); j.AnswerReceived(600*ms, "a", "ERR") }, ""},
-		"attempt just after the client left":                      {Effect{}, func(j *Judge) { j.ClientLeft(100*ms, "a", false); j.playAttempt(200*ms, false) }, ""},
-		"attempt long after the client left":                      {Effect{}, func(j *Judge) { j.ClientLeft(100*ms, "a", false); j.playAttempt(300*ms, false) }, SentForGoneClient},
+		"idempotent request repeated":                             {Effect{}, func(j *Judge) { j.recordAttempt(0, false); j.recordAttempt(900*ms, false) }, ""},
+		"repeated within the idempotency window":                  {window, func(j *Judge) { j.recordAttempt(0, false); j.recordAttempt(500*ms, false) }, ""},
+		"repeated after the idempotency window":                   {window, func(j *Judge) { j.recordAttempt(1, false); j.recordAttempt(600*ms, false) }, DisallowedRepeat},
+		"repeated after the window, first attempt rejected":       {window, func(j *Judge) { j.recordAttempt(1, true); j.recordAttempt(600*ms, false) }, ""},
+		"non-idempotent request repeated":                         {Effect{Kind: NonIdempotent}, func(j *Judge) { j.recordAttempt(1, false); j.recordAttempt(600*ms, false) }, DisallowedRepeat},
+		"non-idempotent request repeated, first attempt rejected": {Effect{Kind: NonIdempotent}, func(j *Judge) { j.recordAttempt(1, true); j.recordAttempt(600*ms, false) }, ""},
+		"BUSY for a request that may have run":                    {Effect{Kind: NonIdempotent}, func(j *Judge) { j.recordAttempt(1, false); j.AnswerReceived(600*ms, "a", "BUSY 5") }, WrongRejection},
+		"BUSY for a request that members rejected":                {Effect{Kind: NonIdempotent}, func(j *Judge) { j.recordAttempt(1, true); j.AnswerReceived(600*ms, "a", "BUSY 5") }, ""},
+		"ERR for a request that may have run":                     {Effect{Kind: NonIdempotent}, func(j *Judge) { j.recordAttempt(1, false); j.AnswerReceived(600*ms, "a", "ERR") }, ""},
+		"attempt just after the client left":                      {Effect{}, func(j *Judge) { j.ClientLeft(100*ms, "a", false); j.recordAttempt(200*ms, false) }, ""},
+		"attempt long after the client left":                      {Effect{}, func(j *Judge) { j.ClientLeft(100*ms, "a", false); j.recordAttempt(300*ms, false) }, SentForGoneClient},
 		"attempt after the client closed its sending direction": {Effect{}, func(j *Judge) {
 			j.ClientLeft(100*ms, "a", true)
-			j.playAttempt(300*ms, false)
+			j.recordAttempt(300*ms, false)
 			j.AnswerReceived(400*ms, "a", "BUSY")
 		}, SentForGoneClient},
 		"no answer for a client that still reads": {Effect{}, func(j *Judge) { j.ClientLeft(100*ms, "a", true) }, NoAnswer},
@@ -85,8 +85,8 @@
 	}
 }
 
-// playAttempt records an attempt at a member that ends at once.
-func (j *Judge) playAttempt(at time.Duration, rejected bool) {
+// recordAttempt records an attempt at a member that ends at once.
+func (j *Judge) recordAttempt(at time.Duration, rejected bool) {
 	j.AttemptStarted(at, "a", "n0", "s0", 0, 0)
 	j.AttemptEnded(at, "a", "s0", 0, true, rejected)
 }
--- a/internal/scenariorunner/figures.go
+++ b/internal/scenariorunner/figures.go
@@ -22,7 +22,7 @@
 	{"CPU time of a relay", func(r *Result) float64 { return r.mean(func(n RelayUsage) float64 { return n.CPU }) / r.Seconds * 100 }, "% of a core", false},
 	{"peak memory of a relay", func(r *Result) float64 { return r.mean(func(n RelayUsage) float64 { return n.Memory }) }, "MB", false},
 	{"gossip bytes sent by a relay", func(r *Result) float64 {
-		return r.mean(func(n RelayUsage) float64 { return float64(n.Peers) }) / r.Seconds
+		return r.mean(func(n RelayUsage) float64 { return float64(n.GossipBytes) }) / r.Seconds
 	}, "/s", false},
 	{"failed relay noticed by a peer after, p50", func(r *Result) float64 { return r.peers().P50 }, "s", true},
 	{"failed relay noticed by a peer after, p99", func(r *Result) float64 { return r.peers().P99 }, "s", true},
--- a/internal/scenariorunner/floors_test.go
+++ b/internal/scenariorunner/floors_test.go
@@ -34,11 +34,11 @@
 				parts[name] = served
 			}
 			for third := range 3 {
-				asked, served := 0.0, 0.0
+				demand, served := 0.0, 0.0
 				for i := third * len(x.Demand) / 3; i < (third+1)*len(x.Demand)/3; i++ {
-					asked, served = asked+x.Demand[i], served+x.Served[i]
+					demand, served = demand+x.Demand[i], served+x.Served[i]
 				}
-				parts[fmt.Sprint("third ", third+1)] = served / asked
+				parts[fmt.Sprint("third ", third+1)] = served / demand
 			}
 			for name, served := range parts {
 				if served < minServed {
--- a/internal/scenariorunner/member_updates.go
+++ b/internal/scenariorunner/member_updates.go
@@ -12,7 +12,7 @@
 const updateDeadline = 6 * time.Second
 
 // recordMemberUpdates records the entries that discovery has written to a relay. While the link is
-// cut, only the proxy has received them: they are stored until deliverBehindCut.
+// cut, only the proxy has received them: they are stored until deliverPendingUpdates.
 func (r *run) recordMemberUpdates(relay string, entries []fakes.Entry) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -20,23 +20,23 @@
 		key := relayMember{relay, e.ID}
 		r.updatesWritten[key]++
 		if r.isCutOff(relay) {
-			r.updatesBehindCut[key] = e
+			r.pendingUpdates[key] = e
 			continue
 		}
-		delete(r.updatesBehindCut, key)
+		delete(r.pendingUpdates, key)
 		r.reportMemberUpdate(relay, e)
 	}
 }
 
-// deliverBehindCut handles stored updates when the link between a relay and discovery is healed. A
+// deliverPendingUpdates handles stored updates when the link between a relay and discovery is healed. A
 // serving member may be used from then on. Any other change counts as delivered after
 // updateDeadline, unless a newer one was written. The caller holds the lock.
-func (r *run) deliverBehindCut(relay string) {
-	for key, e := range r.updatesBehindCut {
+func (r *run) deliverPendingUpdates(relay string) {
+	for key, e := range r.pendingUpdates {
 		if key.relay != relay {
 			continue
 		}
-		delete(r.updatesBehindCut, key)
+		delete(r.pendingUpdates, key)
 		if e.Lifecycle == fakes.Serving {
 			r.reportMemberUpdate(relay, e)
 			continue
--- a/internal/scenariorunner/page.go
+++ b/internal/scenariorunner/page.go
@@ -24,7 +24,7 @@
 	data := struct {
 		About, Table string
 		Plots        []template.HTML
-		Steps        []FaultMark
+		Steps        []FaultStep
 	}{About: about, Table: table.String()}
 	if len(all) > 0 {
 		data.Steps = all[0].Faults
--- a/internal/scenariorunner/result.go
+++ b/internal/scenariorunner/result.go
@@ -53,7 +53,7 @@
 	Peers             *PeerViews         `json:"peers,omitempty"`
 	Demand            []float64          `json:"asked"` // wanted connections, by second
 	Served            []float64          `json:"served"`
-	Faults            []FaultMark        `json:"faults"`
+	Faults            []FaultStep        `json:"faults"`
 }
 
 // Unavailable is the most that was out of service at the same time.
@@ -69,7 +69,7 @@
 	Starts      int     `json:"starts"`
 	CPU         float64 `json:"cpu_s"`
 	Memory      float64 `json:"memory_mb"` // peak
-	Peers       int     `json:"bytes_to_relays"`
+	GossipBytes int     `json:"bytes_to_relays"`
 	Connections int     `json:"connections_made"` // to members
 	ListBytes   int     `json:"list_bytes"`       // endpoint lists received from discovery
 	Descriptors int     `json:"descriptors_most"`
@@ -84,8 +84,8 @@
 	Dead      int     `json:"live_held_for_dead"`
 }
 
-// FaultMark is a fault step at its time in the run.
-type FaultMark struct {
+// FaultStep is a fault step at its time in the run.
+type FaultStep struct {
 	At   float64 `json:"at_s"`
 	What string  `json:"what"`
 }
@@ -100,7 +100,7 @@
 	for _, n := range r.relays {
 		cpu, memory, gossipBytes := n.readUsage()
 		u := r.usage[n.name]
-		x.Relays = append(x.Relays, RelayUsage{Name: n.name, Starts: n.starts, CPU: cpu, Memory: memory, Peers: n.gossipBytes + gossipBytes,
+		x.Relays = append(x.Relays, RelayUsage{Name: n.name, Starts: n.starts, CPU: cpu, Memory: memory, GossipBytes: n.gossipBytes + gossipBytes,
 			Connections: u.connections, ListBytes: u.listBytes, Descriptors: u.descriptors})
 	}
 	r.mu.Lock()
@@ -126,7 +126,7 @@
 		x.Peers = &PeerViews{len(w.noticed), scenario.Quantile(w.noticed, 0.5), scenario.Quantile(w.noticed, 0.99), w.falseSuspicions, w.falseDeaths}
 	}
 	for _, s := range r.plan.Steps {
-		x.Faults = append(x.Faults, FaultMark{s.At.Seconds(), strings.TrimSpace(string(s.Action) + " " + s.Target + " " + s.Peer)})
+		x.Faults = append(x.Faults, FaultStep{s.At.Seconds(), strings.TrimSpace(string(s.Action) + " " + s.Target + " " + s.Peer)})
 	}
 	return x
 }
--- a/internal/scenariorunner/run.go
+++ b/internal/scenariorunner/run.go
@@ -31,18 +31,18 @@
 	began         time.Time
 	background    *background
 
-	mu               sync.Mutex // guards the fields below and the judge
-	closing          bool
-	judge            *scenario.Judge
-	service          *scenario.Service
-	relays           []*relay
-	members          map[string]*member // by member ID
-	memberByIndex    []*member          // current members, by index
-	links            map[scenario.Link]*link
-	front            *front
-	discovery        *fakes.Discovery
-	updatesWritten   map[relayMember]int         // how often discovery has written a member's entry to a relay
-	updatesBehindCut map[relayMember]fakes.Entry // last entry written to a relay while it was cut off
+	mu             sync.Mutex // guards the fields below and the judge
+	closing        bool
+	judge          *scenario.Judge
+	service        *scenario.Service
+	relays         []*relay
+	members        map[string]*member // by member ID
+	memberByIndex  []*member          // current members, by index
+	links          map[scenario.Link]*link
+	front          *front
+	discovery      *fakes.Discovery
+	updatesWritten map[relayMember]int         // how often discovery has written a member's entry to a relay
+	pendingUpdates map[relayMember]fakes.Entry // last entry written to a relay while it was cut off
 	measures
 }
 
@@ -88,7 +88,7 @@
 	x := &run{Runner: &runner, settings: decoded, config: config, program: r.Program, plan: scenario.Draw(runner.File, site(decoded), seed),
 		dir:       filepath.Join(r.WorkDir, fmt.Sprintf("%s-%d", strings.Map(fileNameRune, v.Name), repetition)),
 		usedAddrs: map[string]bool{}, leaderByFault: map[int]string{}, members: map[string]*member{}, links: map[scenario.Link]*link{},
-		updatesWritten: map[relayMember]int{}, updatesBehindCut: map[relayMember]fakes.Entry{}}
+		updatesWritten: map[relayMember]int{}, pendingUpdates: map[relayMember]fakes.Entry{}}
 	x.measures = measures{setupTimes: newHistogram(), runnerDelays: newHistogram(), memberLoad: map[string]*scenario.Peak{},
 		listCalls: &scenario.Peak{Window: 100 * time.Millisecond}, probes: &scenario.Peak{Window: time.Second},
 		answers: map[string]int{}, usage: map[string]*usage{}}
--- a/internal/scenariorunner/timeline.go
+++ b/internal/scenariorunner/timeline.go
@@ -64,7 +64,7 @@
 	case scenario.ActionHeal:
 		l.forward, l.backward, s.Impairment = fakes.Impairment{}, fakes.Impairment{}, scenario.Impairment{}
 		if s.Peer == "discovery" {
-			r.deliverBehindCut(s.Target)
+			r.deliverPendingUpdates(s.Target)
 		}
 	}
 	if l.udp != nil {
