--- a/internal/scenario/decode.go
+++ b/internal/scenario/decode.go
@@ -50,7 +50,8 @@
 // keyError returns an error about a key, with the key's line.
 func (f *File) keyError(key, format string, args ...any) error {
 	line, ok := f.lines[key]
-	for parent := key; !ok && parent != ""; line, ok = f.lines[parent] { // an absent key is reported at the line where its object begins
+	// An absent key is reported at the line where its object begins.
+	for parent := key; !ok && parent != ""; line, ok = f.lines[parent] {
 		parent = parent[:max(strings.LastIndexAny(parent, ".["), 0)]
 	}
 	return fmt.Errorf("%w: line %d: %s: %s", ErrInvalid, max(line, 1), key, fmt.Sprintf(format, args...))
--- a/internal/scenario/file.go
+++ b/internal/scenario/file.go
@@ -28,7 +28,7 @@
 	Variants      []Variant       `json:"variants"`
 	Repetitions   int             `json:"repetitions"` // runs of each seed
 	Seeds         int             `json:"seeds"`       // number of consecutive seeds, beginning with Seed
-	CheckLeaks    bool            `json:"settle"`      // at the end, compare the relays' resource use with that before clients came
+	CheckLeaks    bool            `json:"settle"`      // check the relays for leaked descriptors and excessive memory at the end
 
 	lines map[string]int // the line of each key
 }
--- a/internal/scenario/judge.go
+++ b/internal/scenario/judge.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// Judge finds violations of the rules by relays. Its input is what the fake clients, members and
-// discovery observed at their sockets, and which faults the runner caused. It does not use anything
-// that a relay reports about itself.
+// Judge finds the violations of the rules that relays commit. Its input is what the fake clients,
+// members and discovery observed at their sockets, and which faults the runner caused. It does not
+// use anything that a relay reports about itself.
 type Judge struct {
 	Rules Rules
 	// RunnerDelay is the longest delay of the scenario runner's own actions, by which the judge
@@ -20,9 +20,11 @@
 	requests      map[string]*request
 	members       map[string]*memberState
 	memberUpdates map[relayMember]memberUpdate
-	excuses       map[string][]span // by relay: when a fault of it or its links explains missing answers
-	idleFloods    map[string][]span // by relay: when idle clients used up its descriptors, so that it may close new connections unread
+	excuses       map[string][]span // by relay: periods in which a fault explains missing answers and broken flows
 	violations    []Violation
+	// idleFloods holds, by relay, the periods in which idle clients use up its descriptors. The relay
+	// may then close new connections unread.
+	idleFloods map[string][]span
 }
 
 // relayStart is one start of a relay, with the time it took until the relay was ready.
@@ -69,8 +71,9 @@
 	j.memberUpdates[key] = u
 }
 
-// BeginExcuse excuses missing answers of a relay from a time on, because the relay was killed or
-// stopped, or a link was broken. Each call has to be matched by its own EndExcuse.
+// BeginExcuse excuses missing answers and broken flows of a relay from the given time on, because
+// the relay was killed or stopped, or a link was broken. Each call needs its own EndExcuse, unless
+// the excuse lasts until the end of the run.
 func (j *Judge) BeginExcuse(at time.Duration, relay string) {
 	j.excuses[relay] = append(j.excuses[relay], span{at, 0})
 }
@@ -85,7 +88,7 @@
 	}
 }
 
-// BeginIdleFlood records that idle clients use up a relay's descriptors from a time on.
+// BeginIdleFlood records that idle clients use up a relay's descriptors from the given time on.
 func (j *Judge) BeginIdleFlood(at time.Duration, relay string) {
 	j.idleFloods[relay] = append(j.idleFloods[relay], span{at, 0})
 }
--- a/internal/scenario/judge_requests.go
+++ b/internal/scenario/judge_requests.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// AnswerReceived records a line that a client received as an answer: before the flow was up, or
-// after the final answer if the line does not belong to the flow.
+// AnswerReceived records a line that a client received and that is not part of an open flow: the
+// final answer, or a line after it, which counts as a second answer.
 func (j *Judge) AnswerReceived(at time.Duration, id, line string) {
 	r := j.requests[id]
 	if r == nil {
--- a/internal/scenario/judge_test.go
+++ b/internal/scenario/judge_test.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// TestJudgeEffects checks when a request may be repeated, rejected, or sent after its client has
-// left, at the time limits and beyond them.
+// TestJudgeEffects checks when the judge allows a request to be repeated, rejected, or sent to a
+// member after its client has left, at the time limits and beyond them.
 func TestJudgeEffects(t *testing.T) {
 	const ms = time.Millisecond
 	window := Effect{Kind: IdempotencyKey, Window: 500 * ms}
@@ -85,7 +85,7 @@
 	}
 }
 
-// recordAttempt records an attempt at a member that ends at once.
+// recordAttempt records the start and the end, both at the given time, of an attempt at a member.
 func (j *Judge) recordAttempt(at time.Duration, rejected bool) {
 	j.AttemptStarted(at, "a", "n0", "s0", 0, 0)
 	j.AttemptEnded(at, "a", "s0", 0, true, rejected)
--- a/internal/scenario/rules.go
+++ b/internal/scenario/rules.go
@@ -73,8 +73,8 @@
 	// One start in ten may take longer than usualReadyTime until the relay is ready, none may take
 	// longer than maxReadyTime.
 	usualReadyTime, maxReadyTime = 10 * time.Second, 30 * time.Second
-	// simultaneousWindow is the time within which the order of the two ends of a flow, at the client
-	// and at the member, cannot be told.
+	// simultaneousWindow is the largest difference between the end of a flow at the client and its
+	// end at the member for which the judge cannot determine which of them came first.
 	simultaneousWindow = 250 * time.Millisecond
 )
 
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -131,7 +131,9 @@
 			t.Errorf("Compare(%v, %v) = %+v, want Significant %v", c.a, c.b, got, c.significant)
 		}
 	}
-	if got, err := MergePatch([]byte(`{"a":{"b":1,"c":2},"d":3}`), []byte(`{"a":{"b":null,"e":[1]},"d":4}`)); err != nil || string(got) != `{"a":{"c":2,"e":[1]},"d":4}` {
-		t.Errorf("MergePatch = %s, %v", got, err)
+	const merged = `{"a":{"c":2,"e":[1]},"d":4}`
+	got, err := MergePatch([]byte(`{"a":{"b":1,"c":2},"d":3}`), []byte(`{"a":{"b":null,"e":[1]},"d":4}`))
+	if err != nil || string(got) != merged {
+		t.Errorf("MergePatch = %s, error %v, want %s", got, err, merged)
 	}
 }
--- a/internal/scenario/service.go
+++ b/internal/scenario/service.go
@@ -5,11 +5,12 @@
 	"time"
 )
 
-// binWidth is the time resolution of the measurement.
+// binWidth is the time resolution of a Service.
 const binWidth = 100 * time.Millisecond
 
 // Service measures two sums of connection seconds: the demand, in which clients wanted to be
-// connected, and the served part of it, in which they were connected and got timely answers.
+// connected, and the served part of it, in which they were connected and got timely answers. Reports
+// call such connections "well served".
 type Service struct {
 	from, to time.Duration
 	all      series
--- a/internal/scenario/soak.go
+++ b/internal/scenario/soak.go
@@ -48,8 +48,8 @@
 	return f, f.validate()
 }
 
-// soakDraw draws the parts of a soak. The order of the draws must not change: it determines what a
-// seed stands for.
+// soakDraw draws the parts of a soak. The order of the draws must not change: with another order, a
+// seed would give another scenario.
 type soakDraw struct {
 	*rand.Rand
 	systemFaults bool
