--- a/internal/scenariorunner/early_leave.go
+++ b/internal/scenariorunner/early_leave.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// earlyLeave is when and how a client disconnects before it has received its answer.
+// earlyLeave says when and how a client disconnects before it has received its answer.
 type earlyLeave struct {
 	after time.Duration // since the request was sent
 	mode  leaveMode
--- a/internal/scenariorunner/flow.go
+++ b/internal/scenariorunner/flow.go
@@ -22,7 +22,7 @@
 	outcomeMoved      outcome = "moved"      // the relay told the client to move
 	outcomeBroken     outcome = "broken"     // the flow ended unexpectedly or stopped answering
 	outcomeRejected   outcome = "rejected"   // the final answer was BUSY
-	outcomeFailed     outcome = "failed"     // any other final answer than UP and BUSY
+	outcomeFailed     outcome = "failed"     // a final answer other than UP and BUSY
 	outcomeRefused    outcome = "refused"    // connecting or sending the request failed
 	outcomeUnanswered outcome = "unanswered" // no final answer within the deadline and answerMargin
 	outcomeLeft       outcome = "left"       // the client left early
@@ -49,8 +49,8 @@
 	maxUnreadLines = 16
 )
 
-// attempt makes the attempt. It returns the outcome and, if the attempt was rejected, the delay
-// after which the client may retry.
+// attempt connects to the relay, sends the request and handles the answer. It returns the outcome
+// and, if the attempt was rejected, the delay after which the client may retry.
 func (f *flow) attempt(ctx context.Context) (outcome, time.Duration) {
 	c, err := net.DialTimeout("tcp", f.front.addrs[f.relay.name], f.deadline)
 	if err != nil {
@@ -146,7 +146,7 @@
 	*flow
 	conn         net.Conn
 	tick         *time.Timer
-	countedUntil time.Duration // the time before it is already counted as served well or not
+	countedUntil time.Duration // until then, each moment is already counted as served or not served
 	unanswered   bool          // the last line has no answer yet
 	lineSentAt   time.Duration
 	clientEnded  bool // the client has sent END
@@ -187,7 +187,7 @@
 	return scenario.Millis(o.File.Clients.AnswerWithinMs)
 }
 
-// addServed counts the time since countedUntil as served well.
+// addServed counts the time since countedUntil as served.
 func (o *openFlow) addServed(at time.Duration) {
 	o.service.AddServed(o.tags, o.countedUntil, min(at, o.end))
 	o.countedUntil = at
--- a/internal/scenariorunner/member.go
+++ b/internal/scenariorunner/member.go
@@ -10,7 +10,7 @@
 	"dahliarudder/internal/scenario"
 )
 
-// member is one process of a pool member. Its successor has the same index and the next generation.
+// member is a pool member. The member that replaces it has the same index and the next generation.
 type member struct {
 	*fakes.Member
 	name, zone  string
@@ -21,8 +21,8 @@
 	inFlight    inFlight
 }
 
-// inFlight holds the IDs of the attempts in flight at a member by their source address. The end of
-// an attempt may be seen twice, by the member and by a proxy; only the first one is reported.
+// inFlight holds the IDs of the attempts in flight at a member by their source address. Both the
+// member and a proxy may notice the end of an attempt; only the first notice is reported.
 type inFlight struct {
 	mu         sync.Mutex
 	idByOrigin map[string]string
--- a/internal/scenariorunner/member_updates.go
+++ b/internal/scenariorunner/member_updates.go
@@ -7,8 +7,9 @@
 	"dahliarudder/internal/scenario"
 )
 
-// updateDeadline is how long after its link to discovery is healed a relay is given to receive an
-// update that was written during the cut. After that the judge assumes that the relay has it.
+// updateDeadline is how long a relay may take, after its link to discovery is healed, to receive an
+// update that was written during the cut. After that the judge assumes that the relay has received
+// it.
 const updateDeadline = 6 * time.Second
 
 // recordMemberUpdates records the entries that discovery has written to a relay. While the link is
@@ -28,8 +29,8 @@
 	}
 }
 
-// deliverPendingUpdates handles stored updates when the link between a relay and discovery is healed. A
-// serving member may be used from then on. Any other change counts as delivered after
+// deliverPendingUpdates handles stored updates when the link between a relay and discovery is
+// healed. A serving member may be used from then on. Any other change counts as delivered after
 // updateDeadline, unless a newer one was written. The caller holds the lock.
 func (r *run) deliverPendingUpdates(relay string) {
 	for key, e := range r.pendingUpdates {
--- a/internal/scenariorunner/page.go
+++ b/internal/scenariorunner/page.go
@@ -58,8 +58,8 @@
 	return os.WriteFile(path, out.Bytes(), 0o644)
 }
 
-// plotOverTime draws a quantity over time as SVG, with a line for each run and a vertical mark for
-// each fault. With withDemand it also draws the demand as a dashed line.
+// plotOverTime plots a quantity over time as SVG, with a curve for each run and a vertical line for
+// each step of the timeline. With withDemand it also plots the demand as a dashed curve.
 func plotOverTime(title, unit string, all []*Result, valuesOf func(*Result) []float64, withDemand bool) (template.HTML, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "s", unit
--- a/internal/scenariorunner/peer_watch.go
+++ b/internal/scenariorunner/peer_watch.go
@@ -8,7 +8,7 @@
 	"dahliarudder/internal/scenario"
 )
 
-// relayPair is a relay and another relay whose state it reports.
+// relayPair is a relay (viewer) and another relay whose state it reports (viewed).
 type relayPair struct{ viewer, viewed string }
 
 // peerWatch measures how soon relays notice that another relay is down, and how often they suspect
--- a/internal/scenariorunner/relay.go
+++ b/internal/scenariorunner/relay.go
@@ -120,8 +120,8 @@
 	return n.exitStatus
 }
 
-// signal sends a signal to the process if it runs, and returns whether it was sent. With expectExit
-// a later exit of the process is no crash.
+// signal sends a signal to the process if it runs, and returns whether it was sent. With expectExit,
+// a later exit of the process is not reported as a crash.
 func (n *relay) signal(s syscall.Signal, expectExit bool) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/scenariorunner/relay_faults.go
+++ b/internal/scenariorunner/relay_faults.go
@@ -113,8 +113,8 @@
 	// frontRemovalDelay is how long after SIGTERM the front still assigns clients to the relay; the
 	// protocol specifies 0.2 to 0.4 s.
 	frontRemovalDelay = 300 * time.Millisecond
-	// SIGKILL follows SIGTERM after the longest deadline, limited to maxCountedDeadline, plus
-	// killMargin.
+	// SIGKILL follows SIGTERM after the longest deadline of a class, limited to maxCountedDeadline,
+	// plus killMargin.
 	maxCountedDeadline = 3 * time.Second
 	killMargin         = 700 * time.Millisecond
 	seriesInterval     = 50 * time.Millisecond
--- a/internal/scenariorunner/result.go
+++ b/internal/scenariorunner/result.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// minRejections is how many rejections in a row count as a series; see Result.LongestRejecting.
+	// minRejections is the minimum length of a series of rejections; see Result.LongestRejecting.
 	minRejections = 15
 	// worstWindow is the length of the window of Result.Worst.
 	worstWindow = 10 * time.Second
@@ -29,7 +29,7 @@
 	// Invalid is the reason why the run does not count as a measurement; empty for a valid run.
 	Invalid           string               `json:"invalid,omitempty"`
 	Violations        []scenario.Violation `json:"broken"`
-	Service           float64              `json:"service"` // share of the wanted connection seconds that were served well
+	Service           float64              `json:"service"` // served share of the demand; see scenario.Service
 	Worst             float64              `json:"worst_10_s"`
 	WorstAt           float64              `json:"worst_10_s_at_s"`
 	ByTag             map[string]float64   `json:"by"`
@@ -38,10 +38,12 @@
 	Answers           map[string]int       `json:"answers"`      // attempts by outcome
 	AttemptsPerClient float64              `json:"tries_a_client"`
 	MaxAttempts       int                  `json:"tries_of_one_client_most"`
-	PeakMemberLoad    float64              `json:"new_connections_in_1_s_over_what_the_member_can_take_most"`
-	PeakListCalls     float64              `json:"list_calls_in_100_ms_most"`
-	Probes            float64              `json:"probes_a_s"`
-	Relays            []RelayUsage         `json:"relays"`
+	// PeakMemberLoad is the peak work of the new connections of one member in 1 s, relative to the
+	// member's capacity.
+	PeakMemberLoad float64      `json:"new_connections_in_1_s_over_what_the_member_can_take_most"`
+	PeakListCalls  float64      `json:"list_calls_in_100_ms_most"`
+	Probes         float64      `json:"probes_a_s"`
+	Relays         []RelayUsage `json:"relays"`
 	// LongestRejecting is the longest time in which a relay rejected every request, over series of at
 	// least minRejections.
 	LongestRejecting  time.Duration      `json:"refusals_on_end_ns"`
@@ -56,20 +58,21 @@
 	Faults            []FaultStep        `json:"faults"`
 }
 
-// Unavailable is the most that was out of service at the same time.
+// Unavailable holds the peak numbers of relays and members that were out of service at the same
+// time, and the lowest capacity that was left.
 type Unavailable struct {
 	Relays  int     `json:"relays"`          // not admitted by the front
 	Members int     `json:"members"`         // down or in slow start
 	Cores   float64 `json:"cores_left_part"` // lowest available share of the members' full capacity
 }
 
-// RelayUsage is the resources that one relay used.
+// RelayUsage is the resource use of one relay.
 type RelayUsage struct {
 	Name        string  `json:"name"`
 	Starts      int     `json:"starts"`
 	CPU         float64 `json:"cpu_s"`
-	Memory      float64 `json:"memory_mb"` // peak
-	GossipBytes int     `json:"bytes_to_relays"`
+	Memory      float64 `json:"memory_mb"`        // peak
+	GossipBytes int     `json:"bytes_to_relays"`  // sent to other relays
 	Connections int     `json:"connections_made"` // to members
 	ListBytes   int     `json:"list_bytes"`       // endpoint lists received from discovery
 	Descriptors int     `json:"descriptors_most"`
@@ -80,14 +83,14 @@
 	Noticed   int     `json:"noticed"` // failures of relays, counted once for each live relay that noticed
 	P50       float64 `json:"noticed_p50_s"`
 	P99       float64 `json:"noticed_p99_s"`
-	Suspected int     `json:"live_suspected"`
-	Dead      int     `json:"live_held_for_dead"`
+	Suspected int     `json:"live_suspected"`     // live relays that a peer reported as suspect
+	Dead      int     `json:"live_held_for_dead"` // live relays that a peer reported as dead, gone or left
 }
 
-// FaultStep is a fault step at its time in the run.
+// FaultStep is a step of the timeline.
 type FaultStep struct {
 	At   float64 `json:"at_s"`
-	What string  `json:"what"`
+	What string  `json:"what"` // action and target
 }
 
 // reportedQuantiles are the percentiles of times in a result, by name.
--- a/internal/scenariorunner/run.go
+++ b/internal/scenariorunner/run.go
@@ -42,7 +42,7 @@
 	front          *front
 	discovery      *fakes.Discovery
 	updatesWritten map[relayMember]int         // how often discovery has written a member's entry to a relay
-	pendingUpdates map[relayMember]fakes.Entry // last entry written to a relay while it was cut off
+	pendingUpdates map[relayMember]fakes.Entry // last entry written to a relay while its link to discovery was cut
 	measures
 }
 
@@ -175,7 +175,7 @@
 	}
 }
 
-// execute plays the sessions and the timeline until the end of the plan.
+// execute runs the sessions and the timeline until the end of the plan.
 func (r *run) execute(ctx context.Context) {
 	ctx, stop := context.WithDeadline(ctx, r.began.Add(r.plan.End))
 	defer stop()
@@ -246,9 +246,9 @@
 }
 
 const (
-	// releaseTimeout is how long relays may take to close what their clients used. Connections that
-	// health checks keep open end after the keepalive time in the settings, and closed ones linger
-	// for a second.
+	// releaseTimeout is how long a relay may take to close its descriptors after its clients have
+	// left. Connections that health checks keep open end after the keepalive time in the settings,
+	// and closed ones linger for a second.
 	releaseTimeout = 12 * time.Second
 	// descriptorAllowance is how many descriptors beyond the initial ones are no leak: up to two
 	// concurrent calls to discovery, and those that the Go runtime opens.
--- a/internal/scenariorunner/session.go
+++ b/internal/scenariorunner/session.go
@@ -31,7 +31,7 @@
 	attempts    int
 	wantedSince time.Duration // when the client began to wait for a connection
 	reconnects  bool          // the client was connected before
-	retries     bool          // the last attempt failed
+	retries     bool          // an earlier attempt failed
 }
 
 func (r *run) newSession(plan scenario.Session) *session {
@@ -47,7 +47,7 @@
 	return s
 }
 
-// runSession plays one client from its arrival to its end.
+// runSession simulates one client from its arrival to its end.
 func (r *run) runSession(ctx context.Context, plan scenario.Session) {
 	s := r.newSession(plan)
 	r.locked(func(time.Duration) { r.service.AddDemand(s.tags, plan.Arrival, s.end) })
--- a/internal/scenariorunner/setup.go
+++ b/internal/scenariorunner/setup.go
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// openDiscovery opens the members, and discovery with their entries.
+// openDiscovery opens the members and a discovery service that lists them.
 func (r *run) openDiscovery() error {
 	var entries []fakes.Entry
 	for i := range r.File.Members.Count {
@@ -122,8 +122,8 @@
 	return nil
 }
 
-// route returns the address at which one end of a link reaches the other: that of a proxy if the
-// plan breaks the link.
+// route returns the address at which one end of a link reaches the other: that of a new proxy if the
+// plan breaks the link, otherwise addr. It sets the proxy's OnCallerClosed to onCallerClosed.
 func (r *run) route(from, to, addr string, onCallerClosed func(from string)) (string, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/scenariorunner/table.go
+++ b/internal/scenariorunner/table.go
@@ -13,7 +13,7 @@
 // maxPrintedViolations is the number of violations of one run that the table prints.
 const maxPrintedViolations = 8
 
-// minCompared is the number of runs of each variant from which a difference is judged.
+// minCompared is the minimum number of runs of each variant for a verdict on their difference.
 const minCompared = 3
 
 // resultTable holds the results by variant.
@@ -83,7 +83,7 @@
 	out.Flush()
 }
 
-// values returns a figure of all runs of a variant.
+// values returns the values of a figure in all runs of a variant.
 func (t *resultTable) values(f *figure, variant string) (out []float64) {
 	for _, r := range t.byVariant[variant] {
 		out = append(out, f.value(r))
--- a/internal/scenariorunner/timeline.go
+++ b/internal/scenariorunner/timeline.go
@@ -80,15 +80,16 @@
 			p.Stall()
 		default:
 			there, back := l.forward, l.backward
-			r.background.start(func(context.Context) { p.SetImpairment(there, back) }) // in the background: a cut takes a moment
+			// In the background, because SetImpairment blocks while it fills the accept queue for a cut.
+			r.background.start(func(context.Context) { p.SetImpairment(there, back) })
 		}
 	}
 	r.excuseLink(s, l)
 }
 
-// excuseLink excuses effects on clients of a step on a link. Only faults between the front and a
-// relay, and resets and stalls, excuse a relay: it has to cope with other faults of its links to
-// members and discovery, and with all faults of its links to other relays.
+// excuseLink begins or ends the excuse that a step on a link gives to a relay. Only faults between
+// the front and a relay, and resets and stalls, excuse a relay: it has to cope with other faults of
+// its links to members and discovery, and with all faults of its links to other relays.
 func (r *run) excuseLink(s scenario.Step, l *link) {
 	at := r.now()
 	switch {
@@ -152,11 +153,11 @@
 	}
 }
 
-// exitDelay is the time between the moving of a draining member's clients and the member's end.
+// exitDelay is the time from sending MOVE to a draining member's clients until the member exits.
 const exitDelay = time.Second
 
-// drainMember makes a member drain, and ends it after the drain time, unless the context, which is
-// that of the timeline, ends first.
+// drainMember makes a member drain, and kills it after the drain time and exitDelay. If the context,
+// which is that of the timeline, ends during the drain time, the member is not killed.
 func (r *run) drainMember(ctx context.Context, m *member) {
 	m.SetMode(fakes.ModeBusy)
 	r.discovery.SetLifecycle(m.ID, fakes.Draining)
--- a/internal/scenariorunner/unavailability.go
+++ b/internal/scenariorunner/unavailability.go
@@ -7,8 +7,8 @@
 	"dahliarudder/internal/rollout"
 )
 
-// unavailability is the most that was out of service at the same time, as seen from outside the
-// relays, and the releases that may have caused it.
+// unavailability records how many relays and members were out of service at the same time, as
+// observed from outside the relays, and the releases that may have caused it.
 type unavailability struct {
 	relays, members int     // highest number out of service at the same time
 	lostCapacity    float64 // highest missing share of the members' full capacity
