--- a/internal/fakes/attempt_counter.go
+++ b/internal/fakes/attempt_counter.go
@@ -33,9 +33,9 @@
 	return &AttemptCounter{inFlight: map[string]map[*CountedAttempt]bool{}, total: map[string]int{}}
 }
 
-// Begin records the arrival of an attempt. It overlaps with the attempts of the same request that are
-// in flight. Attempts whose sender has already closed the connection do not count as in flight: the
-// goroutine that serves such a connection may not have noticed the end yet.
+// Begin records the arrival of an attempt. It counts an overlap if another attempt of the same
+// request is in flight. Attempts whose sender has already closed the connection do not count as in
+// flight: the goroutine that serves such a connection may not have noticed the end yet.
 func (c *AttemptCounter) Begin(requestID string, conn net.Conn) *CountedAttempt {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -71,7 +71,8 @@
 	}
 }
 
-// tcpEstablished is the state of a TCP connection that neither side has begun to close (the kernel's TCP_ESTABLISHED).
+// tcpEstablished is the state of a TCP connection that neither side has begun to close (the
+// kernel's TCP_ESTABLISHED).
 const tcpEstablished = 1
 
 // peerHasClosed reports whether the kernel knows that the other side has closed the connection or its
@@ -98,7 +99,7 @@
 }
 
 // Violations describes the violations so far: overlapping attempts of one request, and requests with
-// more attempts than allowed.
+// more than maxAttemptsPerRequest attempts.
 func (c *AttemptCounter) Violations() (all []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/fakes/capacity.go
+++ b/internal/fakes/capacity.go
@@ -23,7 +23,7 @@
 	ReportFields   []string           // names of the fields that a load report contains
 }
 
-// A line is answered later by overloadDelay multiplied with the relative overload (load/capacity - 1),
+// The answer to a line is delayed by overloadDelay times the relative overload (load/capacity - 1),
 // which is limited to maxOverload.
 const (
 	overloadDelay = time.Second
--- a/internal/fakes/host.go
+++ b/internal/fakes/host.go
@@ -3,7 +3,7 @@
 // scenarios. Each fake is written from the public description of its protocol.
 package fakes
 
-// Host is the loopback address that the fakes listen on. Each scenario run sets its own before it
-// opens a fake. With a shared address, a port that one run has released could be reused by another
-// run at once and receive traffic that is meant for the first.
+// Host is the loopback address that all fakes except NATS servers listen on. Each scenario run sets
+// its own before it opens a fake. With a shared address, a port that one run has released could be
+// reused by another run at once and receive traffic that is meant for the first.
 var Host = "127.0.0.1"
--- a/internal/fakes/nats_cluster.go
+++ b/internal/fakes/nats_cluster.go
@@ -39,7 +39,7 @@
 	mu        sync.RWMutex
 	exact     map[string]map[*subscription]bool // by subject
 	wild      map[*subscription]bool            // subscriptions with wildcards
-	queueTurn atomic.Int64                      // selects a member of each queue group in turn
+	queueTurn atomic.Int64                      // selects the receivers within queue groups in turn
 	onPublish func(subject, payload string)
 }
 
--- a/internal/fakes/nats_conn.go
+++ b/internal/fakes/nats_conn.go
@@ -16,7 +16,7 @@
 const (
 	// maxUnsent is how many bytes may wait to be written to a connection before publishers to it block.
 	maxUnsent      = 4 << 20
-	natsReadBuffer = 64 << 10
+	natsReadBuffer = 64 << 10 // bytes
 	// rejectLinger is how long a connection stays open after its CONNECT was rejected, so that the
 	// error reaches the client.
 	rejectLinger = 10 * time.Millisecond
--- a/internal/fakes/proxy_test.go
+++ b/internal/fakes/proxy_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// TestTCPProxy checks that the proxy forwards data unchanged; that while one or both directions are
-// cut it forwards nothing there and establishes no connection; that it forwards waiting data after
-// the cut; and that it drops the data of a connection that its sender closed during the cut.
+// TestTCPProxy checks that the proxy forwards data unchanged. While one or both directions are cut,
+// it must forward nothing in them and establish no connection. After the cut it must forward the
+// queued data, except that of a connection that its sender closed during the cut.
 func TestTCPProxy(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -57,7 +57,7 @@
 		t.Helper()
 		fmt.Fprintln(c, word)
 		if line, err := in.ReadString('\n'); err != nil || line != word+"\n" || <-got != line {
-			t.Fatalf("sent %q, got the echo %q, error %v", word, line, err)
+			t.Fatalf("echo through the proxy = %q, error %v, want %q", line, err, word+"\n")
 		}
 	}
 	a, ain := dial()
@@ -70,7 +70,8 @@
 	}
 	fmt.Fprintln(a, "waits")
 	fmt.Fprintln(b, "given up")
-	time.Sleep(100 * time.Millisecond) // the proxy may have read the data by now or not: the test must pass in both cases
+	// The proxy may have read the data by now or not: the test must pass in both cases.
+	time.Sleep(100 * time.Millisecond)
 	b.Close()
 	<-callerClosed
 	if len(got) > 0 {
@@ -85,7 +86,8 @@
 	}
 	c, in := dial()
 	expectEcho(c, in, "three")
-	p.SetImpairment(Impairment{}, Impairment{Cut: true}) // only the direction to the caller: data arrives, its echo does not
+	// Only the direction to the caller is cut: data arrives at the target, its echo does not return.
+	p.SetImpairment(Impairment{}, Impairment{Cut: true})
 	fmt.Fprintln(c, "four")
 	if line := <-got; line != "four\n" {
 		t.Errorf("the target received %q, want %q", line, "four\n")
@@ -170,6 +172,6 @@
 		p.mu.Unlock()
 	}
 	if len(callerClosed) > 0 {
-		t.Errorf("OnCallerClosed(%s) was called, though the target reset the connection", <-callerClosed)
+		t.Errorf("OnCallerClosed(%s) was called, want no call: the target reset the connection", <-callerClosed)
 	}
 }
--- a/internal/fakes/tcp_proxy.go
+++ b/internal/fakes/tcp_proxy.go
@@ -31,7 +31,7 @@
 const (
 	// maxQueuedReads is how many reads of one connection may wait while the direction is cut.
 	maxQueuedReads = 16
-	readSize       = 16 << 10
+	readSize       = 16 << 10 // bytes
 )
 
 // TCPProxy forwards TCP connections to a target. It can cut one direction or both, delay and throttle
@@ -101,8 +101,11 @@
 
 const (
 	maxBacklogFillers = 16
-	fillTimeout       = 100 * time.Millisecond
-	acceptTimeout     = 200 * time.Millisecond
+	// fillTimeout is the dial timeout of a filler. The accept queue counts as full after two
+	// consecutive timeouts.
+	fillTimeout = 100 * time.Millisecond
+	// acceptTimeout is how long blockBacklog waits for a blocked Accept to return the first filler.
+	acceptTimeout = 200 * time.Millisecond
 )
 
 // blockBacklog starts or stops the dropping of new handshakes. It fills the listener's accept queue,
@@ -127,7 +130,8 @@
 	}
 	p.backlogFillers = []net.Conn{}
 	accepted := p.accepted.Load()
-	for misses := 0; misses < 2 && len(p.backlogFillers) < maxBacklogFillers; { // a single timeout may be due to a slow machine
+	// A single timeout may be due to a slow machine.
+	for misses := 0; misses < 2 && len(p.backlogFillers) < maxBacklogFillers; {
 		c, err := net.DialTimeout("tcp", p.Addr(), fillTimeout)
 		if err != nil {
 			misses++
@@ -248,9 +252,9 @@
 	}
 }
 
-// copyDirection forwards one direction of a connection. During a cut, data that was read waits, but
-// the end of the side that is read from is still noticed. If onReadEnd is not nil, it is called at
-// that end.
+// copyDirection forwards one direction of a connection. During a cut it keeps reading and queues the
+// data, so that it notices when the sender ends the connection. If onReadEnd is not nil, it is called
+// at that end, unless the proxy itself closed the connection.
 func (p *TCPProxy) copyDirection(d direction, to, from net.Conn, onReadEnd func()) {
 	read := make(chan []byte, maxQueuedReads)
 	var readErr error
@@ -266,7 +270,7 @@
 			if err != nil {
 				readErr = err
 				readEnded.Store(true)
-				if onReadEnd != nil && !errors.Is(err, net.ErrClosed) { // on ErrClosed the proxy closed it, not the caller
+				if onReadEnd != nil && !errors.Is(err, net.ErrClosed) { // ErrClosed: closed by the proxy itself
 					onReadEnd()
 				}
 				return
--- a/internal/fakes/udp_proxy.go
+++ b/internal/fakes/udp_proxy.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	maxDatagram = 64 << 10
+	maxDatagram = 64 << 10 // bytes
 	// maxRateDelay is the longest delay that the rate limit may cause. Datagrams that would have to
 	// wait longer are dropped.
 	maxRateDelay = time.Second
