--- a/internal/scenariorunner/peer_watch.go
+++ b/internal/scenariorunner/peer_watch.go
@@ -20,8 +20,8 @@
 	noticed         []float64                // seconds until a live relay noticed that another was down
 	noticedBy       map[relayPair]bool       // pairs whose viewer has noticed the current failure
 	lastState       map[relayPair]string
-	falseSuspicions int // live relays reported as suspect
-	falseDeaths     int // live relays reported as dead, gone or left
+	falseSuspicions int // how often a relay reported a live one as suspect
+	falseDeaths     int // how often a relay reported a live one as dead, gone or left
 }
 
 func newPeerWatch(r *run) *peerWatch {
--- a/internal/scenariorunner/result.go
+++ b/internal/scenariorunner/result.go
@@ -83,8 +83,8 @@
 	Noticed   int     `json:"noticed"` // failures of relays, counted once for each live relay that noticed
 	P50       float64 `json:"noticed_p50_s"`
 	P99       float64 `json:"noticed_p99_s"`
-	Suspected int     `json:"live_suspected"`     // live relays that a peer reported as suspect
-	Dead      int     `json:"live_held_for_dead"` // live relays that a peer reported as dead, gone or left
+	Suspected int     `json:"live_suspected"`     // how often a peer reported a live relay as suspect
+	Dead      int     `json:"live_held_for_dead"` // how often a peer reported a live relay as dead, gone or left
 }
 
 // FaultStep is a step of the timeline.
