--- a/internal/scenariorunner/floors_test.go
+++ b/internal/scenariorunner/floors_test.go
@@ -42,13 +42,14 @@
 			}
 			for name, served := range parts {
 				if served < minServed {
-					t.Errorf("%s: share served well = %.2f, want at least %.2f", name, served, minServed)
+					t.Errorf("%s: share of the demand served well = %.2f, want at least %.2f", name, served, minServed)
 				}
 			}
 			if x.LongestRejecting > maxRejecting {
 				t.Errorf("a relay rejected every request for %v, want at most %v", x.LongestRejecting, maxRejecting)
 			}
-			t.Logf("shares served well %v, longest series of rejections %v, %d rule violations", parts, x.LongestRejecting, len(x.Violations))
+			t.Logf("shares of the demand served well = %v, longest series of rejections %v, %d rule violations",
+				parts, x.LongestRejecting, len(x.Violations))
 			if len(x.Violations) > 0 {
 				t.Errorf("rule violations, want none:\n%s", violationLines(x.Violations))
 			}
--- a/internal/scenariorunner/growth_test.go
+++ b/internal/scenariorunner/growth_test.go
@@ -7,8 +7,9 @@
 	"testing"
 )
 
-// growthSizesVariable is the environment variable that overrides growthSizes, the member counts to
-// run with. The first one is the usual size, which the others are compared with.
+// growthSizes are the numbers of members that TestGrowth runs with; the environment variable
+// growthSizesVariable overrides them. The first one is the usual size, with which the others are
+// compared.
 const growthSizesVariable, growthSizes = "GROWTH_MEMBERS", "12,192"
 
 // growthBounds limit what a relay may use over the same run, as documented for operators. The limit
@@ -26,7 +27,7 @@
 	{"bytes of lists", func(x *Result) float64 { return float64(x.Relays[0].ListBytes) }, 2, 64 << 10, 500 << 10},
 }
 
-// minServedShare is the share of the service at the usual size that other sizes have to reach.
+// minServedShare is the fraction of the usual size's Result.Service that other sizes have to reach.
 const minServedShare = 0.85
 
 // TestGrowth guards against a relay whose resource use grows too fast with the number of members. It
@@ -56,9 +57,10 @@
 				t.Errorf("%d members: %s = %.2f, want at most %.2f (%.2f at the usual size)", members, b.name, value, limit, baseValue)
 			}
 		}
-		t.Logf("%d members: share served well = %.3f", members, x.Service)
+		t.Logf("%d members: share of the demand served well = %.3f", members, x.Service)
 		if x.Service < minServedShare*baseline.Service {
-			t.Errorf("%d members: share served well = %.3f, want at least %.2f of %.3f at the usual size", members, x.Service, minServedShare, baseline.Service)
+			t.Errorf("%d members: share of the demand served well = %.3f, want at least %.2f of %.3f at the usual size",
+				members, x.Service, minServedShare, baseline.Service)
 		}
 		if len(x.Violations) > 0 {
 			t.Errorf("%d members: rule violations, want none:\n%s", members, violationLines(x.Violations))
--- a/internal/scenariorunner/scripted_relay_test.go
+++ b/internal/scenariorunner/scripted_relay_test.go
@@ -31,7 +31,7 @@
 	os.Exit(m.Run())
 }
 
-// serveScripted is a minimal relay that follows all rules, except for the one that its script breaks.
+// serveScripted runs a minimal relay that follows all rules except the one that its script breaks.
 func serveScripted(path string) {
 	var c struct {
 		Listen, Discovery, Script string
@@ -262,7 +262,8 @@
 			for _, b := range x.Violations {
 				broken[b.Rule]++
 			}
-			if script == "exits on SIGTERM" { // a request that it has just accepted stays unanswered: the same fault
+			// A request that the relay has accepted just before the exit stays unanswered: the same fault.
+			if script == "exits on SIGTERM" {
 				delete(broken, scenario.NoAnswer)
 			}
 			if rule != "" && broken[rule] == 0 || len(broken) > 1 || rule == "" && len(broken) > 0 {
@@ -272,7 +273,7 @@
 				t.Errorf("%d flows reported as cut off when the relay exited on SIGTERM, want at least 3", broken[rule])
 			}
 			if rule == "" && x.Service < 0.5 {
-				t.Errorf("share served well = %.2f, want at least 0.5; answers %v", x.Service, x.Answers)
+				t.Errorf("share of the demand served well = %.2f, want at least 0.5; answers %v", x.Service, x.Answers)
 			}
 			page := filepath.Join(r.WorkDir, "page.html")
 			if err := WritePage(page, "about", []*Result{x}); err != nil {
--- a/internal/scenariorunner/soak_test.go
+++ b/internal/scenariorunner/soak_test.go
@@ -14,8 +14,8 @@
 	"dahliarudder/internal/scenario"
 )
 
-// Environment variables of a soak by hand: the first seed, the number of seeds, the number of
-// concurrent runs, and a directory in which all logs are kept.
+// Environment variables for running TestSoak by hand: the first seed, the number of seeds, the
+// number of concurrent runs, and a directory in which all logs are kept.
 const (
 	firstSeedVariable   = "SOAK_FROM"
 	seedCountVariable   = "SOAK_SEEDS"
@@ -107,11 +107,13 @@
 		steps = append(steps, fmt.Sprintf("%.1f %s", s.At, s.What))
 	}
 	t.Logf("seed %d: fault steps by second: %s", seed, strings.Join(steps, ", "))
-	t.Logf("seed %d: %s; %d relays, %d members, share served well %.2f, answers %v, p99 runner delay %.0f ms", seed, verdict, f.Relays.Count, f.Members.Count,
-		x.Service, x.Answers, x.RunnerDelay["p99"])
+	t.Logf("seed %d: %s; %d relays, %d members, share of the demand served well = %.2f, answers %v, p99 runner delay %.0f ms",
+		seed, verdict, f.Relays.Count, f.Members.Count, x.Service, x.Answers, x.RunnerDelay["p99"])
 	if verdict == "passed" {
 		return
 	}
-	t.Errorf("seed %d: %s %s\n%s%v\nto run it again: %s=%d %s=1 %s=logs go test -count=1 -run TestSoak ./internal/scenariorunner", seed, verdict, x.Invalid, printed.String(),
-		violationLines(x.Violations), firstSeedVariable, seed, seedCountVariable, keepDirVariable)
+	t.Errorf("seed %d: %s %s\n%s%v\nto run it again: "+
+		"%s=%d %s=1 %s=logs go test -count=1 -run TestSoak ./internal/scenariorunner",
+		seed, verdict, x.Invalid, printed.String(), violationLines(x.Violations),
+		firstSeedVariable, seed, seedCountVariable, keepDirVariable)
 }
