--- a/cmd/dahliarudder-scenario/command.go
+++ b/cmd/dahliarudder-scenario/command.go
@@ -16,7 +16,8 @@
 	"dahliarudder/internal/scenariorunner"
 )
 
-// errRunFailed makes the program exit with status 1.
+// errRunFailed is the error of a scenario that ran but whose results contain a violation or an
+// invalid run.
 var errRunFailed = errors.New("a relay broke a rule, or a run was invalid")
 
 // options are the command's flags. A zero value keeps what the scenario file says.
--- a/internal/knownfailures/gotest/main.go
+++ b/internal/knownfailures/gotest/main.go
@@ -1,4 +1,5 @@
-// Command gotest runs a go test command and judges it against a list of tests that are known to fail (package knownfailures).
+// Command gotest runs a go test command and judges it against a list of tests that are known to fail
+// (package knownfailures).
 //
 //	gotest LIST COMMAND
 //
--- a/internal/knownfailures/knownfailures_test.go
+++ b/internal/knownfailures/knownfailures_test.go
@@ -44,7 +44,7 @@
 		})
 	}
 	if _, err := Parse("TestOne" + end + "TestTwo" + end + "TestThree" + end); err != nil {
-		t.Error("Parse of a list of three tests: ", err)
+		t.Errorf("Parse of a list of three tests failed: %v", err)
 	}
 }
 
