--- a/internal/fakes/discovery.go
+++ b/internal/fakes/discovery.go
@@ -231,7 +231,7 @@
 // waitForChange waits until the generation differs from since, discovery is down, the timeout has
 // passed or the reader has ended its call. The caller holds the lock, which waitForChange releases
 // while it waits.
-func (d *Discovery) waitForChange(since int, timeout <-chan time.Time, gone <-chan struct{}) {
+func (d *Discovery) waitForChange(since int, timeout <-chan time.Time, callEnded <-chan struct{}) {
 	for since == d.generation && !d.down {
 		updated := d.updated
 		d.mu.Unlock()
@@ -240,7 +240,7 @@
 		case <-updated:
 		case <-timeout:
 			stopWaiting = true
-		case <-gone:
+		case <-callEnded:
 			stopWaiting = true
 		}
 		d.mu.Lock()
--- a/internal/scenariorunner/early_leave.go
+++ b/internal/scenariorunner/early_leave.go
@@ -36,7 +36,7 @@
 
 // leaveEarly disconnects the client as drawn, unless an answer arrives first. It returns true if
 // the client no longer reads from the connection.
-func (f *flow) leaveEarly(c net.Conn) (gone bool) {
+func (f *flow) leaveEarly(c net.Conn) (stoppedReading bool) {
 	wait := time.NewTimer(f.earlyLeave.after)
 	defer wait.Stop()
 	select {
