--- a/cmd/dahliarudder-scenario/command.go
+++ b/cmd/dahliarudder-scenario/command.go
@@ -50,8 +50,10 @@
 	c.Flags().IntVar(&o.members, "members", 0, "number of members (default: the file's)")
 	c.Flags().Float64Var(&o.clients, "clients", 0, "factor by which the file's number of clients is multiplied (default: 1)")
 	c.Flags().StringVar(&o.program, "program", siblingProgram("dahliarudder"), "path of the relay program")
-	c.Flags().StringVar(&o.output, "out", "", "path of the JSON and HTML result files, without extension (default: the scenario file's name with -result, in the working directory)")
-	c.Flags().StringVar(&o.keepDir, "keep", "", "directory in which the relays' files and logs are kept (default: a temporary one, removed if no rule was broken and every run was valid)")
+	c.Flags().StringVar(&o.output, "out", "", "path of the JSON and HTML result files, without extension "+
+		"(default: the scenario file's name with -result, in the working directory)")
+	c.Flags().StringVar(&o.keepDir, "keep", "", "directory in which the relays' files and logs are kept "+
+		"(default: a temporary one, removed if no rule was broken and every run was valid)")
 	c.Flags().BoolVar(&o.checkOnly, "check", false, "validate the scenario file and exit")
 	return c
 }
--- a/internal/knownfailures/gotest/main_test.go
+++ b/internal/knownfailures/gotest/main_test.go
@@ -103,7 +103,8 @@
 			}
 			text := out.String()
 			if passes != c.passes || !strings.Contains(text, c.output) || strings.Contains(text, "not to be printed") {
-				t.Errorf("run(%q): passes = %v, want %v and output that contains %q; output:\n%s", c.command, passes, c.passes, c.output, text)
+				t.Errorf("run(%q): passes = %v, want %v and output that contains %q; output:\n%s",
+					c.command, passes, c.passes, c.output, text)
 			}
 		})
 	}
--- a/internal/knownfailures/run.go
+++ b/internal/knownfailures/run.go
@@ -158,7 +158,8 @@
 	// go test exits with 1 if a package failed and with 0 if none did. Any other exit code means that
 	// go test itself could not run as requested.
 	if want := min(failed, 1); exit != want {
-		failures = append(failures, fmt.Sprintf("go test ended with exit code %d and %d failed packages, want exit code %d", exit, failed, want))
+		failures = append(failures, fmt.Sprintf("go test ended with exit code %d and %d failed packages, want exit code %d",
+			exit, failed, want))
 	}
 	if len(r.packages) == 0 {
 		failures = append(failures, "go test ran no package")
--- a/internal/scenario/decode.go
+++ b/internal/scenario/decode.go
@@ -31,7 +31,8 @@
 		var typeErr *json.UnmarshalTypeError
 		if errors.As(err, &typeErr) {
 			line := 1 + bytes.Count(text[:min(int(typeErr.Offset), len(text))], []byte("\n"))
-			return nil, fmt.Errorf("%w: line %d: %s: got %s, want %s", ErrInvalid, line, typeErr.Field, typeErr.Value, typeName(typeErr.Type))
+			return nil, fmt.Errorf("%w: line %d: %s: got %s, want %s",
+				ErrInvalid, line, typeErr.Field, typeErr.Value, typeName(typeErr.Type))
 		}
 		return nil, fmt.Errorf("%w: %w", ErrInvalid, err)
 	}
--- a/internal/scenario/judge.go
+++ b/internal/scenario/judge.go
@@ -168,6 +168,7 @@
 		}
 	}
 	if 10*slow > len(j.starts) {
-		j.addViolation(0, NotReadyInTime, "", "%d of %d starts took longer than %v, one in ten may", slow, len(j.starts), usualReadyTime)
+		j.addViolation(0, NotReadyInTime, "", "%d of %d starts took longer than %v, one in ten may",
+			slow, len(j.starts), usualReadyTime)
 	}
 }
--- a/internal/scenario/judge_attempts.go
+++ b/internal/scenario/judge_attempts.go
@@ -32,7 +32,8 @@
 	if r == nil {
 		r = &request{relay: relay, sentAt: at, gaveUp: true}
 		j.requests[id] = r
-		j.addViolation(at, ForgedAnswer, relay, "request %s: attempt at member %s, but no client sent this request", id, member)
+		j.addViolation(at, ForgedAnswer, relay, "request %s: attempt at member %s, but no client sent this request",
+			id, member)
 	}
 	j.checkAttemptAllowed(at, id, r)
 	r.attempts++
@@ -67,7 +68,8 @@
 	}
 	outsideWindow := r.effect.Kind == IdempotencyKey && at > r.mayHaveRun+r.effect.Window+j.tolerance()
 	if r.mayHaveRun > 0 && (r.effect.Kind == NonIdempotent || outsideWindow) {
-		j.addViolation(at, DisallowedRepeat, r.relay, "request %s: attempt %v after the first one that may have run", id, at-r.mayHaveRun)
+		j.addViolation(at, DisallowedRepeat, r.relay, "request %s: attempt %v after the first one that may have run",
+			id, at-r.mayHaveRun)
 	}
 }
 
@@ -92,7 +94,8 @@
 	}
 	m.down = true
 	if work == 0 || notifiedWork >= work*2/3 {
-		j.addViolation(at, OverloadedInSlowStart, "", "member %s: %.2f s of work and flows with a load of %.2f cores, capacity %.2f s of work in %.1f s",
+		j.addViolation(at, OverloadedInSlowStart, "",
+			"member %s: %.2f s of work and flows with a load of %.2f cores, capacity %.2f s of work in %.1f s",
 			member, work, m.load, capacity, window)
 	}
 	return true
@@ -103,7 +106,8 @@
 // sockets, in either order.
 func (j *Judge) checkOverlap(at time.Duration, id string, r *request) {
 	if at-r.overlapSince > j.tolerance() {
-		j.addViolation(r.overlapSince, ConcurrentAttempts, r.relay, "request %s: second attempt at member %s, overlap %v", id, r.overlapMember, at-r.overlapSince)
+		j.addViolation(r.overlapSince, ConcurrentAttempts, r.relay, "request %s: second attempt at member %s, overlap %v",
+			id, r.overlapMember, at-r.overlapSince)
 	}
 }
 
--- a/internal/scenariorunner/fleet.go
+++ b/internal/scenariorunner/fleet.go
@@ -59,7 +59,8 @@
 			return
 		}
 		if status == http.StatusConflict || status == http.StatusBadRequest || time.Now().After(end) {
-			r.Progress("\roperator call %s %s to relay %s failed: HTTP status %d %s\n", method, path, n.name, status, answer.Error)
+			r.Progress("\roperator call %s %s to relay %s failed: HTTP status %d %s\n",
+				method, path, n.name, status, answer.Error)
 			return
 		}
 	}
--- a/internal/scenariorunner/growth_test.go
+++ b/internal/scenariorunner/growth_test.go
@@ -54,7 +54,8 @@
 			limit := b.factor*baseValue + b.constant + b.perThousandMembers*float64(members)/1000
 			t.Logf("%d members: %s = %.2f, limit %.2f", members, b.name, value, limit)
 			if value > limit {
-				t.Errorf("%d members: %s = %.2f, want at most %.2f (%.2f at the usual size)", members, b.name, value, limit, baseValue)
+				t.Errorf("%d members: %s = %.2f, want at most %.2f (%.2f at the usual size)",
+					members, b.name, value, limit, baseValue)
 			}
 		}
 		t.Logf("%d members: share of the demand served well = %.3f", members, x.Service)
--- a/internal/scenariorunner/result.go
+++ b/internal/scenariorunner/result.go
@@ -33,7 +33,7 @@
 	Worst             float64              `json:"worst_10_s"`
 	WorstAt           float64              `json:"worst_10_s_at_s"`
 	ByTag             map[string]float64   `json:"by"`
-	RecoveredAfter    *float64             `json:"back_after_s"` // since the last fault; null without faults, or if service never recovered
+	RecoveredAfter    *float64             `json:"back_after_s"` // since the last step; nil if there is none or service never recovered
 	SetupTimes        map[string]float64   `json:"set_up_ms"`    // by quantile
 	Answers           map[string]int       `json:"answers"`      // attempts by outcome
 	AttemptsPerClient float64              `json:"tries_a_client"`
--- a/internal/scenariorunner/run.go
+++ b/internal/scenariorunner/run.go
@@ -160,7 +160,8 @@
 				ready++
 			}
 			if how := n.exitReason(); how != "" {
-				return fmt.Errorf("relay %s exited before all relays were ready: %s; see its log %s", n.name, how, filepath.Join(n.dir, "log"))
+				return fmt.Errorf("relay %s exited before all relays were ready: %s; see its log %s",
+					n.name, how, filepath.Join(n.dir, "log"))
 			}
 		}
 		if ready == len(r.relays) {
@@ -238,7 +239,8 @@
 		r.locked(func(at time.Duration) {
 			demand, _ := r.service.PerSecond()
 			if i := int(at/time.Second) - 1; i >= 0 && i < len(demand) {
-				r.Progress("\r%7.1f s: %4.0f connections wanted, %4d open, %d relays admitted   ", at.Seconds(), demand[i], r.openFlows, r.front.admittedCount())
+				r.Progress("\r%7.1f s: %4.0f connections wanted, %4d open, %d relays admitted   ",
+					at.Seconds(), demand[i], r.openFlows, r.front.admittedCount())
 			}
 		})
 	}
--- a/internal/scenariorunner/runner.go
+++ b/internal/scenariorunner/runner.go
@@ -87,7 +87,8 @@
 // RunAll runs every variant with every seed as often as the file says. For each seed and repetition
 // it runs the variants in turn. If the context ends, it returns the results so far.
 func (r *Runner) RunAll(ctx context.Context) (all []*Result, err error) {
-	fakes.Host = fmt.Sprintf("127.%d.%d.1", 64+rand.IntN(128), rand.IntN(256)) // keeps concurrent runs on this machine apart
+	// An address of its own keeps this process apart from concurrent ones on the same machine.
+	fakes.Host = fmt.Sprintf("127.%d.%d.1", 64+rand.IntN(128), rand.IntN(256))
 	repetitions := r.File.Repetitions * r.File.Seeds
 	for k := range repetitions {
 		seed := r.File.Seed + uint64(k%r.File.Seeds)
--- a/internal/scenariorunner/table.go
+++ b/internal/scenariorunner/table.go
@@ -126,7 +126,8 @@
 				fmt.Fprintf(w, "  and %d more violations\n", len(r.Violations)-i)
 				break
 			}
-			fmt.Fprintf(w, "%s, repetition %d: RULE BROKEN at %.2f s, %s: %s: %s\n", variant, r.Repetition, v.At.Seconds(), v.Relay, v.Rule, v.What)
+			fmt.Fprintf(w, "%s, repetition %d: RULE BROKEN at %.2f s, %s: %s: %s\n",
+				variant, r.Repetition, v.At.Seconds(), v.Relay, v.Rule, v.What)
 		}
 	}
 }
