--- a/internal/scenariorunner/early_leave.go
+++ b/internal/scenariorunner/early_leave.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// earlyLeave is when and how a client disconnects before it has received its answer.
+// earlyLeave says when and how a client disconnects before it has received its answer.
 type earlyLeave struct {
 	after time.Duration // since the request was sent
 	mode  leaveMode
@@ -36,7 +36,7 @@
 
 // leaveEarly disconnects the client as drawn, unless an answer arrives first. It returns true if
 // the client no longer reads from the connection.
-func (f *flow) leaveEarly(c net.Conn) (gone bool) {
+func (f *flow) leaveEarly(c net.Conn) (stoppedReading bool) {
 	wait := time.NewTimer(f.earlyLeave.after)
 	defer wait.Stop()
 	select {
--- a/internal/scenariorunner/figures.go
+++ b/internal/scenariorunner/figures.go
@@ -22,14 +22,14 @@
 	{"CPU time of a relay", func(r *Result) float64 { return r.mean(func(n RelayUsage) float64 { return n.CPU }) / r.Seconds * 100 }, "% of a core", false},
 	{"peak memory of a relay", func(r *Result) float64 { return r.mean(func(n RelayUsage) float64 { return n.Memory }) }, "MB", false},
 	{"gossip bytes sent by a relay", func(r *Result) float64 {
-		return r.mean(func(n RelayUsage) float64 { return float64(n.Peers) }) / r.Seconds
+		return r.mean(func(n RelayUsage) float64 { return float64(n.GossipBytes) }) / r.Seconds
 	}, "/s", false},
 	{"failed relay noticed by a peer after, p50", func(r *Result) float64 { return r.peers().P50 }, "s", true},
 	{"failed relay noticed by a peer after, p99", func(r *Result) float64 { return r.peers().P99 }, "s", true},
 	{"live relays suspected by a peer", func(r *Result) float64 { return float64(r.peers().Suspected) }, "", true},
-	{"live relays taken for dead by a peer", func(r *Result) float64 { return float64(r.peers().Dead) }, "", true},
-	{"relays not admitted at once, most", func(r *Result) float64 { return float64(r.Unavailable.Relays) }, "", false},
-	{"members down or in slow start at once, most", func(r *Result) float64 { return float64(r.Unavailable.Members) }, "", false},
+	{"live relays reported as dead by a peer", func(r *Result) float64 { return float64(r.peers().Dead) }, "", true},
+	{"relays not admitted, peak", func(r *Result) float64 { return float64(r.Unavailable.Relays) }, "", false},
+	{"members down or in slow start, peak", func(r *Result) float64 { return float64(r.Unavailable.Members) }, "", false},
 	{"capacity of all members, lowest", func(r *Result) float64 { return 100 * r.Unavailable.Cores }, "%", false},
 	{"releases finished after", releasesDone, "s", false},
 	{"drifts reported", func(r *Result) float64 { return float64(len(r.Drift)) }, "", false},
--- a/internal/scenariorunner/run.go
+++ b/internal/scenariorunner/run.go
@@ -31,18 +31,18 @@
 	began         time.Time
 	background    *background
 
-	mu               sync.Mutex // guards the fields below and the judge
-	closing          bool
-	judge            *scenario.Judge
-	service          *scenario.Service
-	relays           []*relay
-	members          map[string]*member // by member ID
-	memberByIndex    []*member          // current members, by index
-	links            map[scenario.Link]*link
-	front            *front
-	discovery        *fakes.Discovery
-	updatesWritten   map[relayMember]int         // how often discovery has written a member's entry to a relay
-	updatesBehindCut map[relayMember]fakes.Entry // last entry written to a relay while it was cut off
+	mu             sync.Mutex // guards the fields below and the judge
+	closing        bool
+	judge          *scenario.Judge
+	service        *scenario.Service
+	relays         []*relay
+	members        map[string]*member // by member ID
+	memberByIndex  []*member          // current members, by index
+	links          map[scenario.Link]*link
+	front          *front
+	discovery      *fakes.Discovery
+	updatesWritten map[relayMember]int         // how often discovery has written a member's entry to a relay
+	pendingUpdates map[relayMember]fakes.Entry // last entry written to a relay while its link to discovery was cut
 	measures
 }
 
@@ -88,7 +88,7 @@
 	x := &run{Runner: &runner, settings: decoded, config: config, program: r.Program, plan: scenario.Draw(runner.File, site(decoded), seed),
 		dir:       filepath.Join(r.WorkDir, fmt.Sprintf("%s-%d", strings.Map(fileNameRune, v.Name), repetition)),
 		usedAddrs: map[string]bool{}, leaderByFault: map[int]string{}, members: map[string]*member{}, links: map[scenario.Link]*link{},
-		updatesWritten: map[relayMember]int{}, updatesBehindCut: map[relayMember]fakes.Entry{}}
+		updatesWritten: map[relayMember]int{}, pendingUpdates: map[relayMember]fakes.Entry{}}
 	x.measures = measures{setupTimes: newHistogram(), runnerDelays: newHistogram(), memberLoad: map[string]*scenario.Peak{},
 		listCalls: &scenario.Peak{Window: 100 * time.Millisecond}, probes: &scenario.Peak{Window: time.Second},
 		answers: map[string]int{}, usage: map[string]*usage{}}
@@ -160,7 +160,8 @@
 				ready++
 			}
 			if how := n.exitReason(); how != "" {
-				return fmt.Errorf("relay %s exited before all relays were ready: %s; see its log %s", n.name, how, filepath.Join(n.dir, "log"))
+				return fmt.Errorf("relay %s exited before all relays were ready: %s; see its log %s",
+					n.name, how, filepath.Join(n.dir, "log"))
 			}
 		}
 		if ready == len(r.relays) {
@@ -175,7 +176,7 @@
 	}
 }
 
-// execute plays the sessions and the timeline until the end of the plan.
+// execute runs the sessions and the timeline until the end of the plan.
 func (r *run) execute(ctx context.Context) {
 	ctx, stop := context.WithDeadline(ctx, r.began.Add(r.plan.End))
 	defer stop()
@@ -238,7 +239,8 @@
 		r.locked(func(at time.Duration) {
 			demand, _ := r.service.PerSecond()
 			if i := int(at/time.Second) - 1; i >= 0 && i < len(demand) {
-				r.Progress("\r%7.1f s: %4.0f connections wanted, %4d open, %d relays admitted   ", at.Seconds(), demand[i], r.openFlows, r.front.admittedCount())
+				r.Progress("\r%7.1f s: %4.0f connections wanted, %4d open, %d relays admitted   ",
+					at.Seconds(), demand[i], r.openFlows, r.front.admittedCount())
 			}
 		})
 	}
@@ -246,9 +248,9 @@
 }
 
 const (
-	// releaseTimeout is how long relays may take to close what their clients used. Connections that
-	// health checks keep open end after the keepalive time in the settings, and closed ones linger
-	// for a second.
+	// releaseTimeout is how long a relay may take to close its descriptors after its clients have
+	// left. Connections that health checks keep open end after the keepalive time in the settings,
+	// and closed ones linger for a second.
 	releaseTimeout = 12 * time.Second
 	// descriptorAllowance is how many descriptors beyond the initial ones are no leak: up to two
 	// concurrent calls to discovery, and those that the Go runtime opens.
