--- a/integration/crossing_descriptors_test.go
+++ b/integration/crossing_descriptors_test.go
@@ -5,23 +5,23 @@
 	"testing"
 )
 
-// fullSockets is a limit of descriptors that a test's clients can exhaust.
-const fullSockets = 100
+// smallSocketLimit is a limit of descriptors that a test's clients can exhaust.
+const smallSocketLimit = 100
 
-func newFullRig(t *testing.T, members int) (*lineRig, int) {
+func newSocketLimitRig(t *testing.T, members int) (*lineRig, int) {
 	t.Helper()
-	s := newLineRig(t, members, map[string]any{"limits": map[string]any{"cores": 1, "memory_mb": 32, "sockets": fullSockets}})
+	s := newLineRig(t, members, map[string]any{"limits": map[string]any{"cores": 1, "memory_mb": 32, "sockets": smallSocketLimit}})
 	waitFor(t, "the first watch", func() bool { return s.d.Calls() > 1 })
 	return s, s.descriptors()
 }
 
-// returnAndDrain brings discovery back and lets a member drain there. The clients of its flows are moved once the relay has
+// restoreDiscoveryAndDrain brings discovery back and lets a member drain there. The clients of its flows are moved once the relay has
 // reached discovery.
-func (s *lineRig) returnAndDrain(stands *client, b *backend) {
+func (s *lineRig) restoreDiscoveryAndDrain(flow *client, drained *fakeMember) {
 	s.t.Helper()
 	s.d.SetDown(false)
-	s.d.SetLifecycle(b.id, "DRAINING")
-	stands.wantLine("MOVE")
+	s.d.SetLifecycle(drained.id, "DRAINING")
+	flow.wantLine("MOVE")
 }
 
 // waitServed waits until a request is served, and ends it.
@@ -36,17 +36,17 @@
 	})
 }
 
-// TestCrossingFullIdle: clients that send nothing, check readiness and stay, or send half a line, fill the descriptors while
+// TestCrossingDescriptorsIdleClients: clients that send nothing, check readiness and stay, or send half a line, fill the descriptors while
 // discovery is down. Once it is back the relay reaches it and its members, while these clients stay.
-func TestCrossingFullIdle(t *testing.T) {
+func TestCrossingDescriptorsIdleClients(t *testing.T) {
 	t.Parallel()
-	s, before := newFullRig(t, 2)
-	stands := s.openFlow(1, "")
-	b := s.memberOfFlow(stands.wantLine("UP "))
+	s, before := newSocketLimitRig(t, 2)
+	flow := s.openFlow(1, "")
+	b := s.memberOfFlow(flow.wantLine("UP "))
 	s.d.SetDown(true)
 	s.waitLogged("discovery call failed")
 	var idle []*client
-	for n := range 3 * fullSockets {
+	for n := range 3 * smallSocketLimit {
 		c := s.dial()
 		idle = append(idle, c)
 		switch n % 3 {
@@ -56,52 +56,52 @@
 			c.Write([]byte("OPEN 00000000"))
 		}
 	}
-	s.returnAndDrain(stands, b)
+	s.restoreDiscoveryAndDrain(flow, b)
 	s.waitServed(100)
-	if held := s.descriptors(); held > fullSockets {
-		t.Errorf("%d descriptors of %d", held, fullSockets)
+	if open := s.descriptors(); open > smallSocketLimit {
+		t.Errorf("%d descriptors of %d", open, smallSocketLimit)
 	}
 	for _, c := range idle {
 		c.Close()
 	}
 	s.waitDescriptorsReleased(before)
-	checkAttemptCounter(t, s.tries)
+	checkAttemptCounter(t, s.attemptCounter)
 	s.stop()
 }
 
-// TestCrossingFullOpen: open flows fill the descriptors while discovery is down, and rejected clients stay as long as they may.
+// TestCrossingDescriptorsOpenFlows: open flows fill the descriptors while discovery is down, and rejected clients stay as long as they may.
 // Once discovery is back the relay reaches it; service resumes when clients go.
-func TestCrossingFullOpen(t *testing.T) {
+func TestCrossingDescriptorsOpenFlows(t *testing.T) {
 	t.Parallel()
-	s, before := newFullRig(t, 2)
-	stands := s.openFlow(1, "")
-	b := s.memberOfFlow(stands.wantLine("UP "))
+	s, before := newSocketLimitRig(t, 2)
+	flow := s.openFlow(1, "")
+	b := s.memberOfFlow(flow.wantLine("UP "))
 	var all []*client
-	turned := 0
-	for n := range fullSockets {
+	rejected := 0
+	for n := range smallSocketLimit {
 		c := s.openFlow(100+n, "")
 		all = append(all, c)
 		if !strings.HasPrefix(c.line(), "UP ") {
-			turned++
+			rejected++
 		}
 	}
-	if turned == 0 || turned == fullSockets {
-		t.Fatalf("%d of %d were turned away", turned, fullSockets)
+	if rejected == 0 || rejected == smallSocketLimit {
+		t.Fatalf("%d of %d were turned away", rejected, smallSocketLimit)
 	}
 	s.d.SetDown(true)
 	s.waitLogged("discovery call failed")
-	for n := range fullSockets {
+	for n := range smallSocketLimit {
 		all = append(all, s.openFlow(1000+n, "")) // not read
 	}
-	s.returnAndDrain(stands, b)
-	if held := s.descriptors(); held > fullSockets {
-		t.Errorf("%d descriptors of %d", held, fullSockets)
+	s.restoreDiscoveryAndDrain(flow, b)
+	if open := s.descriptors(); open > smallSocketLimit {
+		t.Errorf("%d descriptors of %d", open, smallSocketLimit)
 	}
 	for _, c := range all {
 		c.Close()
 	}
 	s.waitServed(2000)
 	s.waitDescriptorsReleased(before)
-	checkAttemptCounter(t, s.tries)
+	checkAttemptCounter(t, s.attemptCounter)
 	s.stop()
 }
--- a/integration/crossing_queue_test.go
+++ b/integration/crossing_queue_test.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// TestCrossingStopQueue: connections with a complete request wait in the accept queue, more than one loop round accepts, when
+// TestCrossingStopAcceptQueue: connections with a complete request wait in the accept queue, more than one loop round accepts, when
 // the listener is about to close: the process is suspended from SIGTERM until then. Each is answered.
-func TestCrossingStopQueue(t *testing.T) {
+func TestCrossingStopAcceptQueue(t *testing.T) {
 	t.Parallel()
-	const waiting = 40 // acceptBurst of netloop is 16
+	const queued = 40 // acceptBurst of netloop is 16
 	s := newScriptedRig(t, 2, nil)
 	since := s.terminate()
 	s.suspend()
 	var all []*client
-	for n := range waiting {
+	for n := range queued {
 		all = append(all, s.openWithDeadline(100+n, 9*time.Second))
 	}
 	time.Sleep(time.Until(since.Add(maxCountedDeadline + socketTolerance))) // its clock goes on; that is the event
@@ -27,7 +27,7 @@
 	}
 	s.waitExit()
 	s.checkAttempts()
-	if answers["BUSY"] != waiting {
+	if answers["BUSY"] != queued {
 		t.Errorf("answers %v", answers)
 	}
 }
--- a/integration/crossing_rig_test.go
+++ b/integration/crossing_rig_test.go
@@ -61,8 +61,8 @@
 	countEnd func()
 }
 
-func newScriptedMember(t testing.TB, id string, tries *fakes.AttemptCounter) *scriptedMember {
-	m := &scriptedMember{t: t, id: id, attempts: tries, newAttempts: make(chan *attempt, maxArrivals)}
+func newScriptedMember(t testing.TB, id string, counter *fakes.AttemptCounter) *scriptedMember {
+	m := &scriptedMember{t: t, id: id, attempts: counter, newAttempts: make(chan *attempt, maxArrivals)}
 	m.addr = listen(t, m.serve).Addr().String()
 	return m
 }
@@ -158,7 +158,7 @@
 	select {
 	case line := <-a.lines:
 		return line
-	case <-time.After(patience):
+	case <-time.After(eventTimeout):
 		a.member.t.Fatal("no line came")
 		return ""
 	}
@@ -169,7 +169,7 @@
 	a.member.t.Helper()
 	select {
 	case <-a.ended:
-	case <-time.After(patience):
+	case <-time.After(eventTimeout):
 		a.member.t.Fatal("the attempt's connection stays")
 	}
 }
@@ -182,25 +182,25 @@
 	attemptCounter *fakes.AttemptCounter
 }
 
-func newMembers(t testing.TB, n int, tries *fakes.AttemptCounter) (members []*scriptedMember, list []member) {
+func newScriptedMembers(t testing.TB, n int, counter *fakes.AttemptCounter) (members []*scriptedMember, list []member) {
 	for i := range n {
-		m := newScriptedMember(t, fmt.Sprintf("s-%08x", 0x5be2a000+i*0x01234567), tries)
+		m := newScriptedMember(t, fmt.Sprintf("s-%08x", 0x5be2a000+i*0x01234567), counter)
 		members, list = append(members, m), append(list, m.entry())
 	}
 	return members, list
 }
 
-func newScriptedRig(t *testing.T, members int, more map[string]any) *scriptedRig {
+func newScriptedRig(t *testing.T, members int, extra map[string]any) *scriptedRig {
 	t.Helper()
 	s := &scriptedRig{attemptCounter: fakes.NewAttemptCounter()}
 	var list []member
-	s.members, list = newMembers(t, members, s.attemptCounter)
+	s.members, list = newScriptedMembers(t, members, s.attemptCounter)
 	s.d = newDiscovery(t, list...)
 	fronts := 1
-	if more["operator"] != nil {
+	if extra["operator"] != nil {
 		fronts++
 	}
-	s.relay = start(t, configure(t, s.d, more), fronts)
+	s.relay = start(t, configure(t, s.d, extra), fronts)
 	waitFor(t, "the first watch", func() bool { return s.d.Calls() > 1 })
 	return s
 }
@@ -238,15 +238,15 @@
 func requestID(n int) string { return fmt.Sprintf("%016x", n) }
 
 // openWithDeadline is openFlow with another deadline.
-func (s *scriptedRig) openWithDeadline(n int, wait time.Duration) *client {
+func (s *scriptedRig) openWithDeadline(n int, deadline time.Duration) *client {
 	s.t.Helper()
 	c := s.dial()
-	c.send(firstLine(n, wait))
+	c.send(firstLine(n, deadline))
 	return c
 }
 
-func firstLine(n int, wait time.Duration) string {
-	return fmt.Sprintf("OPEN %016x %016x c=pay-status,t=water,d=%d,g=%016x", n, n+1, wait.Milliseconds(), n+2)
+func firstLine(n int, deadline time.Duration) string {
+	return fmt.Sprintf("OPEN %016x %016x c=pay-status,t=water,d=%d,g=%016x", n, n+1, deadline.Milliseconds(), n+2)
 }
 
 // newFlow opens an accepted flow and returns both ends.
@@ -303,19 +303,19 @@
 
 func (s *scriptedRig) checkAttempts() {
 	s.t.Helper()
-	for _, broken := range s.attemptCounter.Violations() {
-		s.t.Error(broken)
+	for _, violation := range s.attemptCounter.Violations() {
+		s.t.Error(violation)
 	}
 }
 
 // descriptors counts a process's descriptors.
 func descriptors(t testing.TB, pid int) int {
 	t.Helper()
-	held, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
+	open, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return len(held)
+	return len(open)
 }
 
 func (r *relay) descriptors() int {
@@ -326,7 +326,7 @@
 // waitDescriptorsReleased waits until the relay has no more descriptors than before. Connections for health checks take some seconds.
 func (r *relay) waitDescriptorsReleased(before int) {
 	r.t.Helper()
-	for end := time.Now().Add(patience); r.descriptors() > before; time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(eventTimeout); r.descriptors() > before; time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
 			r.t.Fatalf("%d descriptors, %d before: %q", r.descriptors(), before, r.describeDescriptors())
 		}
@@ -393,7 +393,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := &blockedListener{listener: l, serve: serve}
+	b := &blockedListener{listener: l, serve: serve}
 	t.Cleanup(func() { l.Close() })
 	raw, err := l.(*net.TCPListener).SyscallConn()
 	if err != nil {
@@ -404,29 +404,29 @@
 		t.Fatal(err)
 	}
 	waitFor(t, "a full queue", func() bool {
-		c, err := net.DialTimeout("tcp", d.addr(), fillTimeout)
+		c, err := net.DialTimeout("tcp", b.addr(), fillTimeout)
 		if err == nil {
-			d.backlogFillers = append(d.backlogFillers, c)
+			b.backlogFillers = append(b.backlogFillers, c)
 		}
 		return err != nil
 	})
-	return d
+	return b
 }
 
-func (d *blockedListener) addr() string { return d.listener.Addr().String() }
+func (b *blockedListener) addr() string { return b.listener.Addr().String() }
 
 // unblock serves connections.
-func (d *blockedListener) unblock() {
-	for _, c := range d.backlogFillers {
+func (b *blockedListener) unblock() {
+	for _, c := range b.backlogFillers {
 		c.Close()
 	}
 	go func() {
 		for {
-			c, err := d.listener.Accept()
+			c, err := b.listener.Accept()
 			if err != nil {
 				return
 			}
-			go d.serve(c)
+			go b.serve(c)
 		}
 	}()
 }
--- a/integration/crossing_signals_test.go
+++ b/integration/crossing_signals_test.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// slowFile is a configuration on a disk that does not answer: a reader waits until the test continues.
-type slowFile struct {
+// blockingFile is a configuration on a disk that does not answer: a reader waits until the test continues.
+type blockingFile struct {
 	t    testing.TB
 	path string
 	text string
 }
 
-// newSlowFile puts one in the place of a file.
-func newSlowFile(t testing.TB, path string) *slowFile {
+// newBlockingFile puts one in the place of a file.
+func newBlockingFile(t testing.TB, path string) *blockingFile {
 	t.Helper()
 	text, err := os.ReadFile(path)
 	if err == nil {
@@ -28,11 +28,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &slowFile{t, path, string(text)}
+	return &blockingFile{t, path, string(text)}
 }
 
 // waitReader waits until a process reads the file. That process waits for what the test writes to the returned file.
-func (s *slowFile) waitReader() *os.File {
+func (s *blockingFile) waitReader() *os.File {
 	s.t.Helper()
 	var f *os.File
 	waitFor(s.t, "a read of the configuration", func() bool {
@@ -54,7 +54,7 @@
 		t.Parallel()
 		s := newScriptedRig(t, 2, nil)
 		c, _ := s.newFlow(1)
-		file := newSlowFile(t, s.configPath)
+		file := newBlockingFile(t, s.configPath)
 		s.cmd.Process.Signal(syscall.SIGHUP)
 		file.waitReader()
 		for range 40 { // more than any queue of signals holds
@@ -70,7 +70,7 @@
 		t.Parallel()
 		s := newScriptedRig(t, 2, nil)
 		c, _ := s.newFlow(1)
-		held := s.openFlow(2, "")
+		pending := s.openFlow(2, "")
 		a := s.nextAttempt()
 		s.cmd.Process.Signal(syscall.SIGHUP)
 		since := s.terminate()
@@ -80,14 +80,14 @@
 			s.cmd.Process.Signal(syscall.SIGINT)
 		}
 		a.accept()
-		held.wantLine("UP ")
-		wantMoved(c, held)
+		pending.wantLine("UP ")
+		wantMoved(c, pending)
 		s.wantTimelyExit(since)
 	})
 	t.Run("SIGHUP before the configuration is read", func(t *testing.T) {
 		t.Parallel()
-		b := newBackend(t, "s-00000001", nil)
-		file := newSlowFile(t, configure(t, newDiscovery(t, b.member()), nil))
+		b := newFakeMember(t, "s-00000001", nil)
+		file := newBlockingFile(t, configure(t, newDiscovery(t, b.entry()), nil))
 		r := launch(t, file.path)
 		f := file.waitReader()
 		r.cmd.Process.Signal(syscall.SIGHUP)
@@ -101,7 +101,7 @@
 	})
 	t.Run("SIGTERM before the configuration is read", func(t *testing.T) {
 		t.Parallel()
-		file := newSlowFile(t, configure(t, newDiscovery(t), nil))
+		file := newBlockingFile(t, configure(t, newDiscovery(t), nil))
 		r := launch(t, file.path)
 		file.waitReader()
 		r.cmd.Process.Signal(syscall.SIGTERM)
@@ -112,14 +112,14 @@
 // TestStartAddressInUse: a relay whose address is still another's for a moment waits for it and serves.
 func TestStartAddressInUse(t *testing.T) {
 	t.Parallel()
-	b := newBackend(t, "s-00000001", nil)
+	b := newFakeMember(t, "s-00000001", nil)
 	addr := reservePort(t)
 	holder, err := net.Listen("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer holder.Close()
-	r := launch(t, configure(t, newDiscovery(t, b.member()), map[string]any{"listen": addr}))
+	r := launch(t, configure(t, newDiscovery(t, b.entry()), map[string]any{"listen": addr}))
 	waitFor(t, "the relay to find its address held", func() bool {
 		select {
 		case err := <-r.done:
--- a/integration/crossing_silent_test.go
+++ b/integration/crossing_silent_test.go
@@ -14,8 +14,8 @@
 	close(w.done)
 }
 
-// answerNever keeps a call for ever.
-func answerNever(*scriptedWatch) { select {} }
+// blockForever keeps a call for ever.
+func blockForever(*scriptedWatch) { select {} }
 
 // TestCrossingWatchSilent: a member drains just as the watch falls silent, or ends and the next call is silent. Nothing new goes to it later than the
 // protocol allows after the silence began.
@@ -23,10 +23,10 @@
 	t.Parallel()
 	for _, test := range []watchCase{
 		{"silent", silentWatchDeadline, answerNothing, nil},
-		{"503 then silence", silentWatchDeadline, answerUnavailable, []func(*scriptedWatch){answerNever}},
-		{"reset then silence", silentWatchDeadline, answerReset, []func(*scriptedWatch){answerNever}},
+		{"503 then silence", silentWatchDeadline, answerUnavailable, []func(*scriptedWatch){blockForever}},
+		{"reset then silence", silentWatchDeadline, answerReset, []func(*scriptedWatch){blockForever}},
 	} {
-		t.Run(test.what, test.run)
+		t.Run(test.name, test.run)
 	}
 }
 
@@ -34,15 +34,15 @@
 func TestCrossingWatchMovedSilent(t *testing.T) {
 	t.Parallel()
 	s, old := newWatchRig(t)
-	c, m := s.flowToDrain()
+	c, m := s.openFlowOfMember()
 	next := newScriptedDiscovery(t, s.entries())
-	next.drain(m.id, nil, answerNever)
+	next.drain(m.id, nil, blockForever)
 	at := time.Now()
 	s.reload(old.addr, next.addr)
 	last := s.lastSendTo(m, c).Sub(at)
 	t.Logf("the last send went %v after SIGHUP", last.Round(time.Millisecond))
-	if most := silentWatchDeadline + drainGrace + socketTolerance; last > most {
-		t.Errorf("sent to a member %v after SIGHUP; %v are allowed", last, most)
+	if limit := silentWatchDeadline + drainGrace + socketTolerance; last > limit {
+		t.Errorf("sent to a member %v after SIGHUP; %v are allowed", last, limit)
 	}
 	s.checkAttempts()
 }
--- a/integration/crossing_stop_test.go
+++ b/integration/crossing_stop_test.go
@@ -33,22 +33,22 @@
 // attempt starts after that.
 func TestCrossingStopInFlight(t *testing.T) {
 	t.Parallel()
-	for _, wait := range []time.Duration{time.Second, 2900 * time.Millisecond} {
-		t.Run(wait.String(), func(t *testing.T) {
+	for _, deadline := range []time.Duration{time.Second, 2900 * time.Millisecond} {
+		t.Run(deadline.String(), func(t *testing.T) {
 			t.Parallel()
 			s := newScriptedRig(t, 2, nil)
 			sent := time.Now()
-			c := s.openWithDeadline(1, wait)
+			c := s.openWithDeadline(1, deadline)
 			a := s.nextAttempt()
 			since := s.terminate()
 			answer := c.line()
 			took := time.Since(sent)
-			t.Logf("%q after %v of %v", answer, took.Round(time.Millisecond), wait)
+			t.Logf("%q after %v of %v", answer, took.Round(time.Millisecond), deadline)
 			if !strings.HasPrefix(answer, "BUSY") && answer != "ERR" {
 				t.Errorf("answered %q", answer)
 			}
-			if took > wait+lostAnswerDelay {
-				t.Errorf("answered after %v of %v", took, wait)
+			if took > deadline+lostAnswerDelay {
+				t.Errorf("answered after %v of %v", took, deadline)
 			}
 			c.wantLine(io.EOF.Error())
 			before := s.attemptCount(1)
@@ -61,22 +61,22 @@
 	}
 }
 
-// TestCrossingStopArrives: a request after SIGTERM, on a new connection, on an idle one, on one with half a line and on one
+// TestCrossingStopNewRequests: a request after SIGTERM, on a new connection, on an idle one, on one with half a line and on one
 // that was answered PONG, is answered BUSY and never forwarded.
-func TestCrossingStopArrives(t *testing.T) {
+func TestCrossingStopNewRequests(t *testing.T) {
 	t.Parallel()
 	s := newScriptedRig(t, 2, nil)
-	quiet, half, front := s.dial(), s.dial(), s.dial()
+	idle, half, front := s.dial(), s.dial(), s.dial()
 	line := firstLine(2, 2*time.Second) + "\r\n"
 	fmt.Fprint(half, line[:30])
 	front.send("PING")
 	front.wantLine("PONG") // the others were accepted before
 	since := s.terminate()
-	fresh := s.openWithDeadline(1, 2*time.Second)
+	newClient := s.openWithDeadline(1, 2*time.Second)
 	fmt.Fprint(half, line[30:])
-	quiet.send(firstLine(3, 2*time.Second))
+	idle.send(firstLine(3, 2*time.Second))
 	front.send(firstLine(4, 2*time.Second))
-	for _, c := range []*client{fresh, half, quiet, front} {
+	for _, c := range []*client{newClient, half, idle, front} {
 		c.wantLine("BUSY ")
 		c.wantLine(io.EOF.Error())
 	}
@@ -107,9 +107,9 @@
 	s.wantTimelyExit(since)
 }
 
-// TestCrossingStopRests: a client that was answered PONG stays until the relay closes the connection, and sends a request just
+// TestCrossingStopIdleClient: a client that was answered PONG stays until the relay closes the connection, and sends a request just
 // then. It sees an orderly close, with or without BUSY before, and no member gets the request.
-func TestCrossingStopRests(t *testing.T) {
+func TestCrossingStopIdleClient(t *testing.T) {
 	t.Parallel()
 	s := newScriptedRig(t, 1, nil)
 	c := s.dial()
@@ -128,9 +128,9 @@
 	}
 }
 
-// TestCrossingStopRestsOpen: a flow's client and member stay silent, and the client rests after MOVE without ending its side. The process ends all
+// TestCrossingStopSilentFlows: a flow's client and member stay silent, and the client rests after MOVE without ending its side. The process ends all
 // the same, and MOVE is not lost by its end.
-func TestCrossingStopRestsOpen(t *testing.T) {
+func TestCrossingStopSilentFlows(t *testing.T) {
 	t.Parallel()
 	s := newScriptedRig(t, 2, nil)
 	all := s.newFlows(6)
@@ -139,8 +139,8 @@
 	wantMoved(all...) // read only now
 }
 
-// TestCrossingStopWrites: clients write lines on open flows while they are moved: MOVE reaches each, no connection is reset under it.
-func TestCrossingStopWrites(t *testing.T) {
+// TestCrossingStopClientWrites: clients write lines on open flows while they are moved: MOVE reaches each, no connection is reset under it.
+func TestCrossingStopClientWrites(t *testing.T) {
 	t.Parallel()
 	s := newScriptedRig(t, 2, nil)
 	all := s.newFlows(6)
@@ -168,12 +168,12 @@
 	s.wantTimelyExit(since)
 }
 
-// TestCrossingStopTwice: a second and a third SIGTERM change nothing: requests in flight are answered, open flows are moved,
+// TestCrossingStopRepeatedSignal: a second and a third SIGTERM change nothing: requests in flight are answered, open flows are moved,
 // and the process exits without error.
-func TestCrossingStopTwice(t *testing.T) {
+func TestCrossingStopRepeatedSignal(t *testing.T) {
 	t.Parallel()
 	s := newScriptedRig(t, 2, nil)
-	stands, _ := s.newFlow(1)
+	flow, _ := s.newFlow(1)
 	c := s.openFlow(2, "")
 	a := s.nextAttempt()
 	since := s.terminate()
@@ -183,15 +183,15 @@
 	s.cmd.Process.Signal(syscall.SIGTERM)
 	a.accept()
 	c.wantLine("UP ")
-	wantMoved(stands, c)
+	wantMoved(flow, c)
 	s.wantTimelyExit(since)
 }
 
-// TestCrossingStopRefused: a member rejects a request after SIGTERM. The client gets one answer, and attempts never overlap.
-func TestCrossingStopRefused(t *testing.T) {
+// TestCrossingStopRejected: a member rejects a request after SIGTERM. The client gets one answer, and attempts never overlap.
+func TestCrossingStopRejected(t *testing.T) {
 	t.Parallel()
-	for what, end := range map[string]func(*attempt){"busy": (*attempt).reject, "reset": (*attempt).reset} {
-		t.Run(what, func(t *testing.T) {
+	for name, end := range map[string]func(*attempt){"busy": (*attempt).reject, "reset": (*attempt).reset} {
+		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			s := newScriptedRig(t, 2, nil)
 			c := s.openFlow(1, "")
@@ -224,13 +224,13 @@
 	},
 }
 
-// TestCrossingLeftInFlight: the client leaves while its attempt is in flight at a member, which rejects or resets it after
+// TestCrossingClientLeavesInFlight: the client leaves while its attempt is in flight at a member, which rejects or resets it after
 // that. No further attempt starts.
-func TestCrossingLeftInFlight(t *testing.T) {
+func TestCrossingClientLeavesInFlight(t *testing.T) {
 	t.Parallel()
-	for what, leave := range clientEnds {
-		for how, end := range map[string]func(*attempt){"busy": (*attempt).reject, "reset": (*attempt).reset} {
-			t.Run(what+" "+how, func(t *testing.T) {
+	for clientEnd, leave := range clientEnds {
+		for memberEnd, end := range map[string]func(*attempt){"busy": (*attempt).reject, "reset": (*attempt).reset} {
+			t.Run(clientEnd+" "+memberEnd, func(t *testing.T) {
 				t.Parallel()
 				s := newScriptedRig(t, 3, nil)
 				before := s.descriptors()
@@ -267,25 +267,25 @@
 	c.wantLine(io.EOF.Error())
 }
 
-// TestCrossingLeftDial: the client leaves while no member accepts the connection. Once they do, none gets the request.
-func TestCrossingLeftDial(t *testing.T) {
+// TestCrossingClientLeavesConnecting: the client leaves while no member accepts the connection. Once they do, none gets the request.
+func TestCrossingClientLeavesConnecting(t *testing.T) {
 	t.Parallel()
-	for what, leave := range clientEnds {
-		t.Run(what, func(t *testing.T) {
+	for name, leave := range clientEnds {
+		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			tries := fakes.NewAttemptCounter()
-			members, list := newMembers(t, 1, tries)
-			shut := newBlockedListener(t, members[0].serve)
-			list[0].Addr = shut.addr()
-			s := &scriptedRig{d: newDiscovery(t, list...), members: members, attemptCounter: tries}
+			counter := fakes.NewAttemptCounter()
+			members, list := newScriptedMembers(t, 1, counter)
+			blocked := newBlockedListener(t, members[0].serve)
+			list[0].Addr = blocked.addr()
+			s := &scriptedRig{d: newDiscovery(t, list...), members: members, attemptCounter: counter}
 			s.relay = start(t, configure(t, s.d, nil), 1)
 			waitFor(t, "the first watch", func() bool { return s.d.Calls() > 1 })
 			before := s.descriptors()
 			c := s.openFlow(1, "")
-			waitFor(t, "a connection that does not come up", func() bool { return sockets(t, shut.addr(), synSent) > 0 })
+			waitFor(t, "a connection that does not come up", func() bool { return sockets(t, blocked.addr(), synSent) > 0 })
 			leave(c)
 			s.waitDescriptorsReleased(before)
-			shut.unblock()
+			blocked.unblock()
 			since := s.terminate()
 			s.wantTimelyExit(since)
 			if n := s.attemptCount(1); n != 0 {
@@ -295,11 +295,11 @@
 	}
 }
 
-// TestCrossingLeftUp: the client goes just before its member answers UP: the flow ends at the member, and nothing else starts.
-func TestCrossingLeftUp(t *testing.T) {
+// TestCrossingClientLeavesBeforeUp: the client goes just before its member answers UP: the flow ends at the member, and nothing else starts.
+func TestCrossingClientLeavesBeforeUp(t *testing.T) {
 	t.Parallel()
-	for what, leave := range clientEnds {
-		t.Run(what, func(t *testing.T) {
+	for name, leave := range clientEnds {
+		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			s := newScriptedRig(t, 2, nil)
 			before := s.descriptors()
--- a/integration/crossing_upgrade_test.go
+++ b/integration/crossing_upgrade_test.go
@@ -21,8 +21,8 @@
 	return s, clients, members
 }
 
-// passFlows stops the relay while its successor is suspended, and returns once it has handed its flows over.
-func (s *scriptedRig) passFlows(next *relay) time.Time {
+// handOverFlows stops the relay while its successor is suspended, and returns once it has handed its flows over.
+func (s *scriptedRig) handOverFlows(next *relay) time.Time {
 	s.t.Helper()
 	next.suspend()
 	since := s.terminate()
@@ -31,21 +31,21 @@
 }
 
 // waitLoopRound returns when the event loop has completed a round: an operator's call is answered, or refused because the
-// listeners are closed.
+// fronts are closed.
 func (s *scriptedRig) waitLoopRound() {
 	c, err := net.Dial("tcp", s.addrs["operator"])
 	if err != nil {
 		return
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(eventTimeout))
 	fmt.Fprint(c, "GET /-/ready HTTP/1.1\r\nHost: relay\r\n\r\n")
 	c.Read(make([]byte, 1))
 }
 
-// handoverSocket is the inode of the socket at which a successor is awaited. A process that begins to accept clients creates it
-// again.
-func (r *relay) handoverSocket() uint64 {
+// handoverSocketInode is the inode of the socket at which a successor is awaited. A process that begins to accept clients creates it
+// second.
+func (r *relay) handoverSocketInode() uint64 {
 	r.t.Helper()
 	paths, err := filepath.Glob(filepath.Join(filepath.Dir(r.configPath), "dahliarudder-*", "upgrade.sock"))
 	if err != nil || len(paths) > 1 {
@@ -69,15 +69,15 @@
 	c.wantLine("GOT " + line)
 }
 
-// TestCrossingPassBytes: bytes arrive both ways while a flow is on its way to the successor. All arrive, in order.
-func TestCrossingPassBytes(t *testing.T) {
+// TestCrossingHandoverBytes: bytes arrive both ways while a flow is on its way to the successor. All arrive, in order.
+func TestCrossingHandoverBytes(t *testing.T) {
 	t.Parallel()
 	s, clients, members := newUpgradeRig(t, 6)
 	next := s.startSuccessor(2)
 	for i := range clients {
 		members[i].write("GOT ha")
 	}
-	since := s.passFlows(next)
+	since := s.handOverFlows(next)
 	for i, c := range clients {
 		c.send(fmt.Sprint("line ", i))
 		members[i].write("lf\r\nGOT more\r\n")
@@ -98,16 +98,16 @@
 	wantMoved(clients...)
 }
 
-// TestCrossingPassEnds: the client, or the member, ends a flow while it is on its way to the successor. The other side ends in the same manner.
-func TestCrossingPassEnds(t *testing.T) {
+// TestCrossingHandoverFlowEnds: the client, or the member, ends a flow while it is on its way to the successor. The other side ends in the same manner.
+func TestCrossingHandoverFlowEnds(t *testing.T) {
 	t.Parallel()
-	for what, leave := range clientEnds {
-		t.Run("client "+what, func(t *testing.T) {
+	for name, leave := range clientEnds {
+		t.Run("client "+name, func(t *testing.T) {
 			t.Parallel()
 			s, clients, members := newUpgradeRig(t, 4)
 			next := s.startSuccessor(2)
 			before := next.descriptors()
-			since := s.passFlows(next)
+			since := s.handOverFlows(next)
 			for _, c := range clients {
 				leave(c)
 			}
@@ -125,7 +125,7 @@
 		s, clients, members := newUpgradeRig(t, 4)
 		next := s.startSuccessor(2)
 		before := next.descriptors()
-		since := s.passFlows(next)
+		since := s.handOverFlows(next)
 		for _, a := range members {
 			a.countEnd()
 			a.write("BYE\r\n")
@@ -142,15 +142,15 @@
 	})
 }
 
-// TestCrossingPassDrain: a member drains, or is gone from the list, while its flows are on their way. The successor moves them.
-func TestCrossingPassDrain(t *testing.T) {
+// TestCrossingHandoverMemberDrains: a member drains, or is gone from the list, while its flows are on their way. The successor moves them.
+func TestCrossingHandoverMemberDrains(t *testing.T) {
 	t.Parallel()
 	for _, lifecycle := range []string{"DRAINING", "DELETED"} {
 		t.Run(lifecycle, func(t *testing.T) {
 			t.Parallel()
 			s, clients, members := newUpgradeRig(t, 4)
 			next := s.startSuccessor(2)
-			since := s.passFlows(next)
+			since := s.handOverFlows(next)
 			for _, m := range s.members {
 				s.d.SetLifecycle(m.id, lifecycle)
 			}
@@ -165,20 +165,20 @@
 	}
 }
 
-// TestCrossingPassNewerKilled: the successor is killed with flows on their way to it. The first one, which has given them up, moves their clients.
-func TestCrossingPassNewerKilled(t *testing.T) {
+// TestCrossingHandoverSuccessorKilled: the successor is killed with flows on their way to it. The first one, which has given them up, moves their clients.
+func TestCrossingHandoverSuccessorKilled(t *testing.T) {
 	t.Parallel()
 	s, clients, _ := newUpgradeRig(t, 6)
 	next := s.startSuccessor(2)
-	since := s.passFlows(next)
+	since := s.handOverFlows(next)
 	next.cmd.Process.Kill()
 	<-next.done
 	wantMoved(clients...)
 	s.wantTimelyExit(since)
 }
 
-// newRigWithoutMembers is a relay all of whose members drain. Once they serve they accept all attempts.
-func newRigWithoutMembers(t *testing.T, members int) *scriptedRig {
+// newAllDrainingRig is a relay all of whose members drain. Once they serve they accept all attempts.
+func newAllDrainingRig(t *testing.T, members int) *scriptedRig {
 	t.Helper()
 	s := newScriptedRig(t, members, map[string]any{"operator": "127.0.0.1:0"})
 	for _, m := range s.members {
@@ -195,35 +195,35 @@
 	next := start(s.t, s.configPath, 2) // it accepts no clients before it has a member
 	s.waitLogged("a successor starts")
 	s.suspend()
-	before := s.handoverSocket()
+	before := s.handoverSocketInode()
 	for _, m := range s.members {
 		s.d.SetLifecycle(m.id, "SERVING")
 	}
-	waitFor(s.t, "the successor's beginning", func() bool { now := s.handoverSocket(); return now != 0 && now != before })
+	waitFor(s.t, "the successor's beginning", func() bool { now := s.handoverSocketInode(); return now != 0 && now != before })
 	next.suspend()
 	return next
 }
 
-// TestCrossingFreshNewerKilled: the successor is killed with connections on their way to it whose first lines have come or are still to come. The
-// first one serves them.
-func TestCrossingFreshNewerKilled(t *testing.T) {
+// TestCrossingHandoverSuccessorKilledBeforeRequest: the successor is killed with connections on their way to it whose first lines have come or are still to come. The
+// firstFirst one serves them.
+func TestCrossingHandoverSuccessorKilledBeforeRequest(t *testing.T) {
 	t.Parallel()
-	s := newRigWithoutMembers(t, 2)
-	quiet, half, asks, front := s.dial(), s.dial(), s.dial(), s.dial()
+	s := newAllDrainingRig(t, 2)
+	idle, half, sent, front := s.dial(), s.dial(), s.dial(), s.dial()
 	line := firstLine(3, 2900*time.Millisecond) + "\r\n"
 	fmt.Fprint(half, line[:30])
 	front.send("PING")
 	front.wantLine("PONG") // the others were accepted before
 	next := s.suspendBothAtTakeover()
-	asks.send(firstLine(1, 2900*time.Millisecond))
+	sent.send(firstLine(1, 2900*time.Millisecond))
 	s.resume()
 	s.waitLogged("a successor serves")
 	s.waitLoopRound()
 	next.cmd.Process.Kill()
 	<-next.done
-	asks.wantLine("UP ")
-	quiet.send(firstLine(2, 2900*time.Millisecond))
-	quiet.wantLine("UP ")
+	sent.wantLine("UP ")
+	idle.send(firstLine(2, 2900*time.Millisecond))
+	idle.wantLine("UP ")
 	fmt.Fprint(half, line[30:])
 	half.wantLine("UP ")
 	front.send("PING")
@@ -233,12 +233,12 @@
 	s.stop()
 }
 
-// TestCrossingPassOlderKilled: the first process is killed with flows on their way to its successor, which serves them.
-func TestCrossingPassOlderKilled(t *testing.T) {
+// TestCrossingHandoverPredecessorKilled: the first process is killed with flows on their way to its successor, which serves them.
+func TestCrossingHandoverPredecessorKilled(t *testing.T) {
 	t.Parallel()
 	s, clients, members := newUpgradeRig(t, 6)
 	next := s.startSuccessor(2)
-	s.passFlows(next)
+	s.handOverFlows(next)
 	s.cmd.Process.Kill()
 	<-s.done
 	next.resume()
@@ -250,14 +250,14 @@
 	wantMoved(clients...)
 }
 
-// TestCrossingFreshMany: SIGTERM comes while more idle connections wait for the handover than may be in transit, and then their
-// first lines come. The successor serves each.
-func TestCrossingFreshMany(t *testing.T) {
+// TestCrossingHandoverManyIdle: SIGTERM comes while more idle connections wait for the handover than may be in transit, and then their
+// firstFirst lines come. The successor serves each.
+func TestCrossingHandoverManyIdle(t *testing.T) {
 	t.Parallel()
-	const many = 20 // passBurst of the program is 8
-	s := newRigWithoutMembers(t, 8)
+	const idleClients = 20 // passBurst of the program is 8
+	s := newAllDrainingRig(t, 8)
 	var all []*client
-	for range many {
+	for range idleClients {
 		all = append(all, s.dial())
 	}
 	front := s.dial()
@@ -281,11 +281,11 @@
 	next.stop()
 }
 
-// TestCrossingBothStop: SIGTERM to both, at the first one before, at the successor before, or with the first one already past its listeners. Who
-// still arrives is answered by one of them, and flows are moved.
-func TestCrossingBothStop(t *testing.T) {
+// TestCrossingHandoverBothStop: SIGTERM to both, at the first one before, at the successor before, or with the first one already past its listeners. Who
+// suspended arrives is answered by one of them, and flows are moved.
+func TestCrossingHandoverBothStop(t *testing.T) {
 	t.Parallel()
-	arrives := func(t *testing.T, s *scriptedRig, n int) {
+	wantBusy := func(t *testing.T, s *scriptedRig, n int) {
 		t.Helper()
 		c := s.openWithDeadline(n, 2*time.Second)
 		c.wantLine("BUSY ")
@@ -301,7 +301,7 @@
 		next.cmd.Process.Signal(syscall.SIGTERM)
 		next.waitLogged("msg=stopping")
 		for n := range 5 {
-			arrives(t, s, 100+n)
+			wantBusy(t, s, 100+n)
 		}
 		next.waitExit()
 		if took := time.Since(since); took > maxCountedDeadline+killMargin {
@@ -310,37 +310,37 @@
 		s.resume()
 		s.waitExit()
 	})
-	for what, first := range map[string]bool{"at once, the first stands still": true, "at once, the successor stands still": false} {
-		t.Run(what, func(t *testing.T) {
+	for name, suspendFirst := range map[string]bool{"at once, the first stands still": true, "at once, the successor stands still": false} {
+		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			s, _, _ := newUpgradeRig(t, 0)
 			next := s.startSuccessor(2)
-			still, other := s.relay, next
-			if !first {
-				still, other = next, s.relay
+			suspended, other := s.relay, next
+			if !suspendFirst {
+				suspended, other = next, s.relay
 			}
-			still.suspend() // its own SIGTERM and the other's word wait for the same round
+			suspended.suspend() // its own SIGTERM and the other's word wait for the same round
 			other.cmd.Process.Signal(syscall.SIGTERM)
 			other.waitLogged("msg=stopping")
-			still.cmd.Process.Signal(syscall.SIGTERM)
-			still.resume()
-			still.waitLogged("msg=stopping")
+			suspended.cmd.Process.Signal(syscall.SIGTERM)
+			suspended.resume()
+			suspended.waitLogged("msg=stopping")
 			for n := range 5 {
-				arrives(t, s, 100+n)
+				wantBusy(t, s, 100+n)
 			}
 			next.waitExit()
 			s.waitExit()
 		})
 	}
-	for what, first := range map[string]bool{"the first at first": true, "the successor at first": false} {
-		t.Run(what, func(t *testing.T) {
+	for name, firstFirst := range map[string]bool{"the first at first": true, "the successor at first": false} {
+		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			s, clients, _ := newUpgradeRig(t, 4)
-			held := s.openFlow(50, "") // keeps the first one from ending
+			pending := s.openFlow(50, "") // keeps the first one from ending
 			a := s.nextAttempt()
 			next := s.startSuccessor(2)
 			one, other := s.relay, next
-			if !first {
+			if !firstFirst {
 				one, other = next, s.relay
 			}
 			since := time.Now()
@@ -349,20 +349,20 @@
 			other.cmd.Process.Signal(syscall.SIGTERM)
 			other.waitLogged("msg=stopping")
 			for n := range 5 {
-				arrives(t, s, 100+n)
+				wantBusy(t, s, 100+n)
 			}
 			a.accept()
-			held.wantLine("UP ")
-			wantMoved(append(clients, held)...)
+			pending.wantLine("UP ")
+			wantMoved(append(clients, pending)...)
 			next.waitExit()
 			s.wantTimelyExit(since)
 		})
 	}
 }
 
-// TestCrossingElsewhere: a request is in progress in the first process while its id is sent to the successor: before the flow
+// TestCrossingHandoverDuplicateID: a request is in progress in the first process while its id is sent to the successor: before the flow
 // is open, during the handover, and after it. It is rejected each time, and there is one attempt.
-func TestCrossingElsewhere(t *testing.T) {
+func TestCrossingHandoverDuplicateID(t *testing.T) {
 	t.Parallel()
 	s, _, _ := newUpgradeRig(t, 0)
 	c := s.openFlow(7, "")
--- a/integration/crossing_waiting_test.go
+++ b/integration/crossing_waiting_test.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// doubtAfter is longer than the time for which a relay may be suspended without asking discovery again: a second by these
+// longSuspension is longer than the time for which a relay may be suspended without asking discovery again: a second by these
 // settings, besides what it may have waited anyway.
-const doubtAfter = 1500 * time.Millisecond
+const longSuspension = 1500 * time.Millisecond
 
-// TestCrossingLeftWaiting: the client leaves while its request waits in the relay, before its first attempt: the relay was
+// TestCrossingClientLeavesWaiting: the client leaves while its request waits in the relay, before its first attempt: the relay was
 // suspended and sends nothing before its endpoint list is current. No attempt starts after that.
-func TestCrossingLeftWaiting(t *testing.T) {
+func TestCrossingClientLeavesWaiting(t *testing.T) {
 	t.Parallel()
-	for what, leave := range clientEnds {
-		t.Run(what, func(t *testing.T) {
+	for name, leave := range clientEnds {
+		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			s := newScriptedRig(t, 2, nil)
 			before := s.descriptors()
 			c := s.dial()
 			c.send("PING")
 			c.wantLine("PONG")
-			s.d.SetAnswerDelay(patience) // the relay is to be sure only after the grace
+			s.d.SetAnswerDelay(eventTimeout) // the relay is to be sure only after the grace
 			s.suspend()
-			time.Sleep(doubtAfter) // its clock goes on; that is the event
+			time.Sleep(longSuspension) // its clock goes on; that is the event
 			c.send(firstLine(1, 2900*time.Millisecond))
 			s.resume()
 			s.waitLogged("this process was suspended")
--- a/integration/crossing_watch_test.go
+++ b/integration/crossing_watch_test.go
@@ -19,13 +19,13 @@
 type scriptedDiscovery struct {
 	addr string
 
-	mu        sync.Mutex
-	at        int // the newest generation
-	list      []member
-	changed   map[string]int          // by member, when it changed last
-	watches   map[*scriptedWatch]bool // that are open now
-	nextCalls []func(*scriptedWatch)  // what happens to the calls that come next, one each
-	opened    int                     // calls so far
+	mu         sync.Mutex
+	generation int // the newest generation
+	list       []member
+	changed    map[string]int          // by member, when it changed last
+	watches    map[*scriptedWatch]bool // that are open now
+	nextCalls  []func(*scriptedWatch)  // what happens to the calls that come next, one each
+	calls      int                     // calls so far
 }
 
 // scriptedWatch is a call that waits for a change.
@@ -36,7 +36,7 @@
 }
 
 func newScriptedDiscovery(t testing.TB, list []member) *scriptedDiscovery {
-	d := &scriptedDiscovery{at: 1, list: list, changed: map[string]int{}, watches: map[*scriptedWatch]bool{}}
+	d := &scriptedDiscovery{generation: 1, list: list, changed: map[string]int{}, watches: map[*scriptedWatch]bool{}}
 	for _, m := range list {
 		d.changed[m.ID] = 1
 	}
@@ -75,7 +75,7 @@
 		w.since, _ = strconv.Atoi(text)
 	}
 	d.mu.Lock()
-	d.opened++
+	d.calls++
 	if len(d.nextCalls) > 0 {
 		handle := d.nextCalls[0]
 		d.nextCalls = d.nextCalls[1:]
@@ -83,7 +83,7 @@
 		handle(w)
 		return false
 	}
-	if w.since != d.at || wait == 0 {
+	if w.since != d.generation || wait == 0 {
 		text := d.listText(w.since, "")
 		d.mu.Unlock()
 		return respond(c, text)
@@ -96,11 +96,11 @@
 	case <-time.After(time.Duration(wait) * time.Millisecond):
 	}
 	d.mu.Lock()
-	stands := d.watches[w]
+	unanswered := d.watches[w]
 	delete(d.watches, w)
 	text := d.listText(w.since, "")
 	d.mu.Unlock()
-	if !stands { // it is answered elsewhere, or never
+	if !unanswered { // it is answered elsewhere, or never
 		<-w.done
 		return true
 	}
@@ -109,7 +109,7 @@
 
 // listText is the answer to a reader that has a generation.
 func (d *scriptedDiscovery) listText(since int, indent string) string {
-	out := fakes.List{Generation: d.at, Reset: since < 0, Instances: []member{}}
+	out := fakes.List{Generation: d.generation, Reset: since < 0, Instances: []member{}}
 	for _, m := range d.list {
 		if since < 0 || d.changed[m.ID] > since {
 			out.Instances = append(out.Instances, m)
@@ -139,11 +139,11 @@
 }
 
 // drain changes a member; to the watches that are open, and to the calls that come next, happens what is given.
-func (d *scriptedDiscovery) drain(id string, open func(w *scriptedWatch, d *scriptedDiscovery), next ...func(*scriptedWatch)) time.Time {
+func (d *scriptedDiscovery) drain(id string, answerOpen func(w *scriptedWatch, d *scriptedDiscovery), next ...func(*scriptedWatch)) time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.at++
-	d.changed[id] = d.at
+	d.generation++
+	d.changed[id] = d.generation
 	for i := range d.list {
 		if d.list[i].ID == id {
 			d.list[i].Lifecycle = "DRAINING"
@@ -153,7 +153,7 @@
 	at := time.Now()
 	for w := range d.watches {
 		delete(d.watches, w)
-		open(w, d)
+		answerOpen(w, d)
 	}
 	return at
 }
@@ -190,7 +190,7 @@
 	t.Helper()
 	s := &scriptedRig{attemptCounter: fakes.NewAttemptCounter()}
 	var list []member
-	s.members, list = newMembers(t, 2, s.attemptCounter)
+	s.members, list = newScriptedMembers(t, 2, s.attemptCounter)
 	for _, m := range s.members {
 		m.setAutoAccept(true)
 	}
@@ -201,20 +201,20 @@
 }
 
 // lastSendTo makes requests, one after another, until the flow of the member that drains is moved, and returns when the last of them reached it.
-func (s *scriptedRig) lastSendTo(from *scriptedMember, stands *client) time.Time {
+func (s *scriptedRig) lastSendTo(drained *scriptedMember, flow *client) time.Time {
 	s.t.Helper()
-	told := make(chan string, 1)
-	go func() { told <- stands.line() }()
+	flowLine := make(chan string, 1)
+	go func() { flowLine <- flow.line() }()
 	n := 1000
-	serve := func() {
+	sendRequest := func() {
 		c := s.openFlow(n, "")
 		c.line() // UP or BUSY
 		c.Close()
 		n++
 	}
-	for waiting := true; waiting; serve() {
+	for waiting := true; waiting; sendRequest() {
 		select {
-		case line := <-told:
+		case line := <-flowLine:
 			if line != "MOVE" {
 				s.t.Errorf("the flow on the member that drains got %q", line)
 			}
@@ -223,10 +223,10 @@
 		}
 	}
 	for range 10 {
-		serve()
+		sendRequest()
 	}
 	last := time.Time{}
-	for _, a := range from.arrivals() {
+	for _, a := range drained.arrivals() {
 		if a.at.After(last) {
 			last = a.at
 		}
@@ -234,8 +234,8 @@
 	return last
 }
 
-// flowToDrain opens flows until one is at a member that is to drain.
-func (s *scriptedRig) flowToDrain() (*client, *scriptedMember) {
+// openFlowOfMember opens flows until one is at a member that is to drain.
+func (s *scriptedRig) openFlowOfMember() (*client, *scriptedMember) {
 	s.t.Helper()
 	c := s.openFlow(1, "")
 	up := c.wantLine("UP ")
@@ -250,21 +250,21 @@
 
 // watchCase is a member's drain during which the watch fails in some way.
 type watchCase struct {
-	what     string
-	deadline time.Duration // by the protocol, after the drain
-	open     func(*scriptedWatch, *scriptedDiscovery)
-	next     []func(*scriptedWatch)
+	name       string
+	deadline   time.Duration // by the protocol, after the drain
+	answerOpen func(*scriptedWatch, *scriptedDiscovery)
+	nextCalls  []func(*scriptedWatch)
 }
 
 func (test watchCase) run(t *testing.T) {
 	t.Parallel()
 	s, d := newWatchRig(t)
-	c, m := s.flowToDrain()
-	at := d.drain(m.id, test.open, test.next...)
+	c, m := s.openFlowOfMember()
+	at := d.drain(m.id, test.answerOpen, test.nextCalls...)
 	last := s.lastSendTo(m, c).Sub(at)
 	t.Logf("the last send went %v after the drain", last.Round(time.Millisecond))
-	if most := test.deadline + drainGrace + socketTolerance; last > most {
-		t.Errorf("sent to a member %v after its drain; %v are allowed", last, most)
+	if limit := test.deadline + drainGrace + socketTolerance; last > limit {
+		t.Errorf("sent to a member %v after its drain; %v are allowed", last, limit)
 	}
 	s.checkAttempts()
 }
@@ -279,7 +279,7 @@
 		{"whole list", 0, answerFullList, nil},
 		{"reset", silentWatchDeadline, answerReset, nil},
 	} {
-		t.Run(test.what, test.run)
+		t.Run(test.name, test.run)
 	}
 }
 
@@ -287,7 +287,7 @@
 func TestCrossingWatchMoved(t *testing.T) {
 	t.Parallel()
 	s, old := newWatchRig(t)
-	c, m := s.flowToDrain()
+	c, m := s.openFlowOfMember()
 	before := s.descriptors()
 	next := newScriptedDiscovery(t, s.entries())
 	at := time.Now()
@@ -295,8 +295,8 @@
 	next.drain(m.id, nil)
 	last := s.lastSendTo(m, c).Sub(at)
 	t.Logf("the last send went %v after SIGHUP", last.Round(time.Millisecond))
-	if most := reloadDeadline + drainGrace + socketTolerance; last > most {
-		t.Errorf("sent to a member %v after SIGHUP; %v are allowed", last, most)
+	if limit := reloadDeadline + drainGrace + socketTolerance; last > limit {
+		t.Errorf("sent to a member %v after SIGHUP; %v are allowed", last, limit)
 	}
 	s.checkAttempts()
 	s.waitDescriptorsReleased(before)
--- a/integration/fleet_faults_test.go
+++ b/integration/fleet_faults_test.go
@@ -135,7 +135,7 @@
 	f.mustCall(3, "POST", "/-/releases", map[string]any{"name": "r", "kind": "relay", "all": true})
 	w := f.watch("r")
 	other := -1
-	waitForWithin(t, patience, "one relay to have left, and another to leave that does not lead", func() bool {
+	waitForWithin(t, eventTimeout, "one relay to have left, and another to leave that does not lead", func() bool {
 		w.checkOneOut()
 		w.restartOrdered()
 		l := f.leaderOrNone()
@@ -153,13 +153,13 @@
 	f.kill(killed)
 	// The other one is not started again before the killed one: while it is out there is no room, so that all are told to leave once. If
 	// both vote, there is no majority and no leader until then.
-	waitForWithin(t, patience, "another leader, or the end of the other one", func() bool {
+	waitForWithin(t, eventTimeout, "another leader, or the end of the other one", func() bool {
 		w.checkOneOut()
 		return f.leaderOrNone() >= 0 || len(f.relays[other].done) > 0
 	})
 	f.start(killed)
 	w.dead = -1
-	waitForWithin(t, 2*patience, "all relays to have left by order", func() bool { w.checkOneOut(); w.restartOrdered(); return len(w.ended) == 4 })
+	waitForWithin(t, 2*eventTimeout, "all relays to have left by order", func() bool { w.checkOneOut(); w.restartOrdered(); return len(w.ended) == 4 })
 	if a := f.waitRelease(killed, "r", rollout.ReleaseCompleted); a.Counts.Done != 4 {
 		t.Errorf("%+v", a)
 	}
@@ -180,7 +180,7 @@
 	f.mustCall(3, "POST", "/-/releases", map[string]any{"name": "r", "kind": "relay", "all": true})
 	w := f.watch("r")
 	told := func() int { return slices.IndexFunc(f.relays, isLeaving) }
-	waitForWithin(t, patience, "one relay to have left, and another to leave", func() bool {
+	waitForWithin(t, eventTimeout, "one relay to have left, and another to leave", func() bool {
 		w.checkOneOut()
 		w.restartOrdered()
 		return len(w.ended) > 0 && told() >= 0
@@ -194,7 +194,7 @@
 		f.start(i)
 	}
 	before := w.ended[had]
-	waitForWithin(t, 3*patience, "the release to end", func() bool {
+	waitForWithin(t, 3*eventTimeout, "the release to end", func() bool {
 		w.checkOneOut()
 		w.restartOrdered()
 		var a rollout.ReleaseStatus
@@ -216,7 +216,7 @@
 	if err := b.Start(now); err != nil {
 		f.t.Fatal(err)
 	}
-	e := b.member()
+	e := b.entry()
 	e.Started = now.UnixMilli()
 	f.d.Put(e)
 	return now
@@ -241,7 +241,7 @@
 	}
 	empty := func(name string) {
 		t.Helper()
-		waitForWithin(t, patience, name+" to be empty", func() bool {
+		waitForWithin(t, eventTimeout, name+" to be empty", func() bool {
 			for _, u := range f.waitRelease(3, "m", rollout.ReleaseRunning).Units {
 				if u.Name == name {
 					return u.Phase == rollout.PhaseDrained
@@ -357,12 +357,12 @@
 	if n := f.flowsToMember(3, 12, 0); n > 0 {
 		t.Errorf("%d flows after it took the ban", n)
 	}
-	waitForWithin(t, 2*patience, "the row to go", func() bool { last = states(); return len(last) == 0 })
+	waitForWithin(t, 2*eventTimeout, "the row to go", func() bool { last = states(); return len(last) == 0 })
 }
 
 // TestFleetPausePartitioned: no two relays' records reach each other when an operator pauses a canary at one relay. The call cannot be agreed, yet every
 // relay goes to zero by what relays pass on in datagrams, and stays there when the record is back, until a resume is agreed. Guards against a
-// bad build that gets flows for as long as there is no majority.
+// invalidFirstLines build that gets flows for as long as there is no majority.
 func TestFleetPausePartitioned(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 4, 3, 4, nil)
@@ -464,7 +464,7 @@
 	begun := f.restartMember(0)
 	f.mustCall(2, "PUT", fmt.Sprintf("/-/permits/%d/done", a.Number), nil)
 	var took time.Duration
-	waitForWithin(t, patience, "the second to be granted", func() bool {
+	waitForWithin(t, eventTimeout, "the second to be granted", func() bool {
 		b = ask(3, "bob", "s1")
 		took = time.Since(begun)
 		return b.State == string(rollout.PermitGranted)
@@ -483,7 +483,7 @@
 }
 
 // TestFleetDisablePartitioned: two of three voters are cut off, so that there is no majority, and an operator disables a member
-// at one relay. The call takes effect there and then, and at no other relay; with the majority back it still holds at that
+// generation one relay. The call takes effect there and then, and at no other relay; with the majority back it still holds at that
 // relay alone, is shown as drift, and ends when it is lifted there. Guards against a call that does nothing during a partition,
 // and against one that enters the record later.
 func TestFleetDisablePartitioned(t *testing.T) {
--- a/integration/fleet_test.go
+++ b/integration/fleet_test.go
@@ -24,7 +24,7 @@
 type fleetRig struct {
 	t           *testing.T
 	d           *discovery
-	members     []*backend
+	members     []*fakeMember
 	relays      []*relay
 	conf        []string
 	recordAddrs []string // of the record
@@ -44,9 +44,9 @@
 	f := &fleetRig{t: t}
 	var list []member
 	for i := range members {
-		b := newBackend(t, fmt.Sprintf("s%d", i), nil)
+		b := newFakeMember(t, fmt.Sprintf("s%d", i), nil)
 		f.members = append(f.members, b)
-		list = append(list, b.member())
+		list = append(list, b.entry())
 	}
 	f.d = newDiscovery(t, list...)
 	var gossip []string
@@ -156,7 +156,7 @@
 // send sends a request to a relay; it ends no test, so any goroutine may call it.
 func (f *fleetRig) send(i int, q *http.Request, into any) int {
 	f.t.Helper()
-	c := http.Client{Timeout: patience, Transport: &http.Transport{DisableKeepAlives: true}}
+	c := http.Client{Timeout: eventTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	answer, err := c.Do(q)
 	if err != nil {
 		return 0
@@ -266,7 +266,7 @@
 
 // TestFleetRelease: all relays are restarted by one order, the leader too, while clients stay connected through their moves:
 // never more are out than the budget allows, and each comes back. Then all members are drained and replaced by their owner, one
-// after another.
+// requestsAfter another.
 func TestFleetRelease(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 4, 3, 4, map[string]any{"relays": map[string]string{"whole": "1"}, "members": map[string]string{"whole": "1"}})
@@ -429,7 +429,7 @@
 			t.Logf("canaries: %s", all)
 		}
 	})
-	waitForWithin(t, 3*patience, "a verdict on an arm that answers errors", func() bool { // which takes some seconds, however many flows there are
+	waitForWithin(t, 3*eventTimeout, "a verdict on an arm that answers errors", func() bool { // which takes some seconds, however many flows there are
 		flows(n, n+30)
 		n += 30
 		var a struct{ Canaries []struct{ Status string } }
@@ -461,7 +461,7 @@
 			all.Add(1)
 			go func() {
 				defer all.Done()
-				for !ok(i) && time.Since(from) < patience {
+				for !ok(i) && time.Since(from) < eventTimeout {
 					time.Sleep(5 * time.Millisecond)
 				}
 				if took[i] = time.Since(from); !ok(i) {
--- a/integration/line_test.go
+++ b/integration/line_test.go
@@ -17,33 +17,33 @@
 // lineRig is a relay with its discovery and members.
 type lineRig struct {
 	*relay
-	d        *discovery
-	backends []*backend
-	tries    *fakes.AttemptCounter
+	d              *discovery
+	members        []*fakeMember
+	attemptCounter *fakes.AttemptCounter
 }
 
-func newLineRig(t *testing.T, members int, more map[string]any) *lineRig {
+func newLineRig(t *testing.T, members int, extra map[string]any) *lineRig {
 	t.Helper()
-	s := &lineRig{tries: fakes.NewAttemptCounter()}
+	s := &lineRig{attemptCounter: fakes.NewAttemptCounter()}
 	var list []member
 	for i := range members {
-		b := newBackend(t, fmt.Sprintf("s-%08x", 0x5be2a000+i*0x01234567), s.tries)
-		s.backends = append(s.backends, b)
-		list = append(list, b.member())
+		b := newFakeMember(t, fmt.Sprintf("s-%08x", 0x5be2a000+i*0x01234567), s.attemptCounter)
+		s.members = append(s.members, b)
+		list = append(list, b.entry())
 	}
 	s.d = newDiscovery(t, list...)
-	listeners := 1
-	if more["operator"] != nil {
-		listeners++
+	fronts := 1
+	if extra["operator"] != nil {
+		fronts++
 	}
-	s.relay = start(t, configure(t, s.d, more), listeners)
+	s.relay = start(t, configure(t, s.d, extra), fronts)
 	return s
 }
 
 // memberOfFlow is the member that has a flow, by the UP line.
-func (s *lineRig) memberOfFlow(up string) *backend {
+func (s *lineRig) memberOfFlow(up string) *fakeMember {
 	s.t.Helper()
-	for _, b := range s.backends {
+	for _, b := range s.members {
 		if strings.HasPrefix(up, "UP "+b.id+"/") {
 			return b
 		}
@@ -80,7 +80,7 @@
 			t.Fatalf("the member got %q, want %q", lines[len(lines)-1], want)
 		}
 	}
-	checkAttemptCounter(t, s.tries)
+	checkAttemptCounter(t, s.attemptCounter)
 	s.stop()
 }
 
@@ -102,8 +102,8 @@
 	for _, mode := range []fakes.MemberMode{fakes.ModeBusy, fakes.ModeErr, fakes.ModeReset} {
 		t.Run(string(mode), func(t *testing.T) {
 			s := newLineRig(t, 3, nil)
-			s.backends[0].SetMode(mode)
-			s.backends[1].SetMode(mode)
+			s.members[0].SetMode(mode)
+			s.members[1].SetMode(mode)
 			answers := map[string]int{}
 			for n := range 12 {
 				c := s.openFlow(n, "")
@@ -118,7 +118,7 @@
 			if answers["UP"] == 0 || answers["UP"]+answers["BUSY"]+answers["ERR"] != 12 {
 				t.Errorf("answers %v", answers)
 			}
-			checkAttemptCounter(t, s.tries)
+			checkAttemptCounter(t, s.attemptCounter)
 			s.stop()
 		})
 	}
@@ -127,7 +127,7 @@
 // TestAllMembersFail: with no member that works a request still gets its final answer.
 func TestAllMembersFail(t *testing.T) {
 	s := newLineRig(t, 2, nil)
-	for _, b := range s.backends {
+	for _, b := range s.members {
 		b.SetMode("err")
 	}
 	c := s.openFlow(1, "")
@@ -135,64 +135,64 @@
 		t.Errorf("answer %q", answer)
 	}
 	c.wantLine(io.EOF.Error())
-	checkAttemptCounter(t, s.tries)
+	checkAttemptCounter(t, s.attemptCounter)
 }
 
 // TestSilentMember: a member that receives a request and does not answer must not keep it beyond the client's deadline.
 func TestSilentMember(t *testing.T) {
 	s := newLineRig(t, 2, nil)
-	for _, b := range s.backends {
+	for _, b := range s.members {
 		b.SetMode("silent")
 	}
 	c := s.openFlow(1, "")
 	if answer := c.line(); !strings.HasPrefix(answer, "BUSY") && answer != "ERR" {
 		t.Errorf("answer %q", answer)
 	}
-	checkAttemptCounter(t, s.tries)
+	checkAttemptCounter(t, s.attemptCounter)
 }
 
 // TestDrain: when a member drains, its clients are moved between two lines, and new ones go elsewhere.
 func TestDrain(t *testing.T) {
 	s := newLineRig(t, 3, nil)
-	held := map[*backend][]*client{}
+	flows := map[*fakeMember][]*client{}
 	for n := range 12 {
 		c := s.openFlow(n, "")
 		b := s.memberOfFlow(c.wantLine("UP "))
-		held[b] = append(held[b], c)
+		flows[b] = append(flows[b], c)
 	}
-	var leaving *backend
-	for b := range held {
-		leaving = b
+	var drained *fakeMember
+	for b := range flows {
+		drained = b
 	}
-	s.d.SetLifecycle(leaving.id, "DRAINING")
-	for _, c := range held[leaving] {
+	s.d.SetLifecycle(drained.id, "DRAINING")
+	for _, c := range flows[drained] {
 		c.wantLine("MOVE")
 		c.wantLine(io.EOF.Error())
 	}
-	waitFor(t, "the member to be left", func() bool { return leaving.OpenFlows() == 0 })
+	waitFor(t, "the member to be left", func() bool { return drained.OpenFlows() == 0 })
 	for n := range 12 {
 		c := s.openFlow(100+n, "")
-		if b := s.memberOfFlow(c.wantLine("UP ")); b == leaving {
+		if b := s.memberOfFlow(c.wantLine("UP ")); b == drained {
 			t.Error("sent to a draining member")
 		}
 	}
-	for b, clients := range held {
+	for b, clients := range flows {
 		for _, c := range clients {
-			if b != leaving {
+			if b != drained {
 				c.send("still here")
 				c.wantLine("LOAD ")
 				c.wantLine("GOT 1 still here")
 			}
 		}
 	}
-	checkAttemptCounter(t, s.tries)
+	checkAttemptCounter(t, s.attemptCounter)
 	s.stop()
 }
 
 // TestResumeFlow: a client that resumes a flow goes to the member that has it.
 func TestResumeFlow(t *testing.T) {
 	s := newLineRig(t, 3, nil)
-	for n, b := range s.backends {
+	for n, b := range s.members {
 		c := s.openFlow(n, ",at="+b.id)
 		if got := s.memberOfFlow(c.wantLine("UP ")); got != b {
 			t.Errorf("went to %s instead of %s", got.id, b.id)
@@ -206,7 +206,7 @@
 // not ready, and the program exits.
 func TestTerminate(t *testing.T) {
 	s := newLineRig(t, 2, nil)
-	held := s.openFlows(10)
+	flows := s.openFlows(10)
 	front, late := s.dial(), s.dial()
 	front.send("PING")
 	front.wantLine("PONG")
@@ -217,17 +217,17 @@
 	late.send("OPEN 00000000000000aa 00000000000000bb c=pay-status,t=water,d=2000")
 	late.wantLine("BUSY ")
 	late.wantLine(io.EOF.Error())
-	wantMoved(held...)
+	wantMoved(flows...)
 	if err := <-s.done; err != nil {
 		t.Errorf("ended with %v", err)
 	}
-	checkAttemptCounter(t, s.tries)
+	checkAttemptCounter(t, s.attemptCounter)
 }
 
 // TestConnectionEnds: an end is answered in its manner, politely or by a reset, both ways.
 func TestConnectionEnds(t *testing.T) {
 	s := newLineRig(t, 1, nil)
-	b := s.backends[0]
+	b := s.members[0]
 	c := s.openFlow(1, "")
 	c.wantLine("UP ")
 	c.Conn.(*net.TCPConn).CloseWrite()
@@ -281,14 +281,14 @@
 	silent := listen(t, func(net.Conn) { select {} })
 	s.reload(s.d.addr, silent.Addr().String())
 	s.waitLogged("discovery=\"" + silent.Addr().String())
-	gone := s.backends[0]
-	if gone == b { // that flow is to stay
-		gone = s.backends[1]
+	drained := s.members[0]
+	if drained == b { // that flow is to stay
+		drained = s.members[1]
 	}
 	var list []member
-	for _, x := range s.backends {
-		m := x.member()
-		if x == gone {
+	for _, x := range s.members {
+		m := x.entry()
+		if x == drained {
 			m.Lifecycle = "DRAINING"
 		}
 		list = append(list, m)
@@ -297,7 +297,7 @@
 	s.reload(silent.Addr().String(), next.addr)
 	waitFor(t, "a watch at the new address", func() bool { return next.Calls() > 1 })
 	for n := range 12 {
-		if s.memberOfFlow(s.openFlow(100+n, "").wantLine("UP ")) == gone {
+		if s.memberOfFlow(s.openFlow(100+n, "").wantLine("UP ")) == drained {
 			t.Error("sent to a member that the new address says is draining")
 		}
 	}
@@ -338,7 +338,7 @@
 		}
 	}
 	s.openFlow(1, "").wantLine("UP ")
-	if lines := s.backends[0].firstLines(); len(lines) != 1 {
+	if lines := s.members[0].firstLines(); len(lines) != 1 {
 		t.Errorf("members got %q", lines)
 	}
 	s.stop()
@@ -361,14 +361,14 @@
 				t.Fatal(err)
 			}
 			for _, sub := range []string{"serve", "check"} {
-				out, err := run(sub, "--config", path)
+				out, err := runCommand(sub, "--config", path)
 				if err == nil || !strings.Contains(out, "invalid configuration") || strings.Contains(out, "goroutine") {
 					t.Errorf("%s: %v, %s", sub, err, out)
 				}
 			}
 		})
 	}
-	if out, err := run("version"); err != nil || !strings.HasPrefix(out, "dahliarudder ") {
+	if out, err := runCommand("version"); err != nil || !strings.HasPrefix(out, "dahliarudder ") {
 		t.Errorf("version: %s, %v", out, err)
 	}
 }
@@ -397,7 +397,7 @@
 	for _, c := range clients {
 		c.Close()
 	}
-	waitFor(t, "the flows' end", func() bool { return s.backends[0].OpenFlows() == 0 })
+	waitFor(t, "the flows' end", func() bool { return s.members[0].OpenFlows() == 0 })
 	n := 1000
 	waitFor(t, "room", func() bool { n++; return strings.HasPrefix(s.openFlow(n, "").line(), "UP ") })
 	s.stop()
@@ -407,8 +407,8 @@
 // usual clients out. Guards against a relay that keeps them until its descriptors are exhausted.
 func TestIdleConnectionFlood(t *testing.T) {
 	s := newLineRig(t, 1, map[string]any{"limits": map[string]any{"cores": 1, "memory_mb": 32, "sockets": 100}})
-	held := s.openFlow(1, "")
-	held.wantLine("UP ")
+	flow := s.openFlow(1, "")
+	flow.wantLine("UP ")
 	for n := range 250 {
 		if c := s.dial(); n%2 == 0 {
 			c.send("PING")
@@ -418,9 +418,9 @@
 	for n := range 10 {
 		s.openFlow(100+n, "").wantLine("UP ")
 	}
-	held.send("still here")
-	held.wantLine("LOAD ")
-	held.wantLine("GOT 1 still here")
+	flow.send("still here")
+	flow.wantLine("LOAD ")
+	flow.wantLine("GOT 1 still here")
 	s.stop()
 }
 
@@ -431,10 +431,10 @@
 	for n := range 5 {
 		s.openFlow(n, "").wantLine("UP ")
 	}
-	sum := regexp.MustCompile(`msg=counts at=[0-9.]+ attempts=\d+ barred=\d+ failed=\d+ left=\d+ moves=\d+ rejected=\d+ requests=(\d+)`)
+	countsLine := regexp.MustCompile(`msg=counts at=[0-9.]+ attempts=\d+ barred=\d+ failed=\d+ left=\d+ moves=\d+ rejected=\d+ requests=(\d+)`)
 	waitFor(t, "five requests counted", func() bool {
 		n := 0
-		for _, m := range sum.FindAllStringSubmatch(s.relay.log.String(), -1) {
+		for _, m := range countsLine.FindAllStringSubmatch(s.relay.log.String(), -1) {
 			k, _ := strconv.Atoi(m[1])
 			n += k
 		}
--- a/integration/minimal_config_test.go
+++ b/integration/minimal_config_test.go
@@ -12,8 +12,8 @@
 // alone, and writes no file.
 func TestMinimalConfig(t *testing.T) {
 	t.Parallel()
-	b := newBackend(t, "s-00000001", nil)
-	d := newDiscovery(t, b.member())
+	b := newFakeMember(t, "s-00000001", nil)
+	d := newDiscovery(t, b.entry())
 	r := start(t, configure(t, d, nil), 1)
 	waitFor(t, "the first watch", func() bool { return d.Calls() > 1 })
 	r.openFlow(1, "").wantLine("UP ")
--- a/integration/nats_bench_test.go
+++ b/integration/nats_bench_test.go
@@ -33,7 +33,7 @@
 	b.Helper()
 	var all []*nats.Conn
 	for range n {
-		c, err := nats.Connect(url, nats.Timeout(patience), nats.ErrorHandler(func(_ *nats.Conn, _ *nats.Subscription, err error) {
+		c, err := nats.Connect(url, nats.Timeout(eventTimeout), nats.ErrorHandler(func(_ *nats.Conn, _ *nats.Subscription, err error) {
 			b.Error(err)
 		}))
 		if err != nil {
@@ -93,7 +93,7 @@
 			s.SetPendingLimits(-1, -1)
 		}
 		c.Publish(fmt.Sprintf("feed.%d", i), payload)
-		if err := c.FlushTimeout(patience); err != nil {
+		if err := c.FlushTimeout(eventTimeout); err != nil {
 			b.Fatal(err)
 		}
 	}
@@ -111,7 +111,7 @@
 			for range each {
 				c.Publish(subject, payload)
 			}
-			if err := c.FlushTimeout(2 * patience); err != nil {
+			if err := c.FlushTimeout(2 * eventTimeout); err != nil {
 				b.Error(err)
 			}
 		})
@@ -134,12 +134,12 @@
 		if _, err := all[0].Subscribe("ask", func(m *nats.Msg) { m.Respond(m.Data) }); err != nil {
 			b.Fatal(err)
 		}
-		all[0].FlushTimeout(patience)
+		all[0].FlushTimeout(eventTimeout)
 		var took []time.Duration
 		b.ResetTimer()
 		for range b.N {
 			began := time.Now()
-			if _, err := all[1].Request("ask", []byte("0123456789abcdef"), patience); err != nil {
+			if _, err := all[1].Request("ask", []byte("0123456789abcdef"), eventTimeout); err != nil {
 				b.Fatal(err)
 			}
 			took = append(took, time.Since(began))
--- a/integration/nats_chaos_test.go
+++ b/integration/nats_chaos_test.go
@@ -59,7 +59,7 @@
 			const clients, rounds, burst = 8, 25, 20
 			var all []*nats.Conn
 			for i := range clients {
-				c, err := nats.Connect("nats://"+r.addrs["nats"], nats.Timeout(patience), nats.NoReconnect(),
+				c, err := nats.Connect("nats://"+r.addrs["nats"], nats.Timeout(eventTimeout), nats.NoReconnect(),
 					nats.ErrorHandler(func(_ *nats.Conn, _ *nats.Subscription, err error) {
 						led.mu.Lock()
 						led.turned[fmt.Sprint(i)]++
@@ -203,7 +203,7 @@
 	d := newDiscovery(t, natsMembers(k)...)
 	r := start(t, configure(t, d, map[string]any{"fronts": map[string]any{"nats": map[string]any{"listen": "127.0.0.1:0",
 		"class": "pay-status", "tenant": "water"}}}), 1)
-	c := must[*nats.Conn](t)(nats.Connect("nats://"+r.addrs["nats"], nats.Timeout(patience), nats.NoReconnect()))
+	c := must[*nats.Conn](t)(nats.Connect("nats://"+r.addrs["nats"], nats.Timeout(eventTimeout), nats.NoReconnect()))
 	defer c.Close()
 	for i := range many {
 		must[*nats.Subscription](t)(c.Subscribe(fmt.Sprint("load.", i), func(*nats.Msg) {}))
@@ -267,7 +267,7 @@
 	r := start(t, configure(t, d, map[string]any{"operator": "127.0.0.1:0", "fronts": map[string]any{"nats": map[string]any{"listen": "127.0.0.1:0",
 		"class": "pay-status", "tenant": "water"}}}), 2)
 	again := make(chan bool, 10)
-	c := must[*nats.Conn](t)(nats.Connect("nats://"+r.addrs["nats"], nats.Timeout(patience), nats.MaxReconnects(-1), nats.ReconnectWait(20*time.Millisecond),
+	c := must[*nats.Conn](t)(nats.Connect("nats://"+r.addrs["nats"], nats.Timeout(eventTimeout), nats.MaxReconnects(-1), nats.ReconnectWait(20*time.Millisecond),
 		nats.ReconnectHandler(func(*nats.Conn) { again <- true }), nats.ErrorHandler(func(*nats.Conn, *nats.Subscription, error) {})))
 	defer c.Close()
 	sub := must[*nats.Subscription](t)(c.SubscribeSync("through"))
@@ -276,13 +276,13 @@
 	r.cmd.Process.Signal(syscall.SIGTERM)
 	select {
 	case <-again:
-	case <-time.After(patience):
+	case <-time.After(eventTimeout):
 		t.Fatal("the client never came again")
 	}
 	r.waitExit()
 	flush(t, c)
 	c.Publish("through", []byte("after"))
-	if m := must[*nats.Msg](t)(sub.NextMsg(patience)); string(m.Data) != "after" {
+	if m := must[*nats.Msg](t)(sub.NextMsg(eventTimeout)); string(m.Data) != "after" {
 		t.Errorf("got %s", m.Data)
 	}
 	next.stop()
--- a/integration/nats_conformance_own_test.go
+++ b/integration/nats_conformance_own_test.go
@@ -30,7 +30,7 @@
 // nodeClient is a client of a node itself, which plays a service there.
 func (s *conformanceRig) nodeClient(t *testing.T) *nats.Conn {
 	t.Helper()
-	c, err := nats.Connect("nats://"+s.k.Nodes[0].Addr, nats.Timeout(patience))
+	c, err := nats.Connect("nats://"+s.k.Nodes[0].Addr, nats.Timeout(eventTimeout))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -77,7 +77,7 @@
 		t.Errorf("%+v", ack)
 	}
 	sub := must[*nats.Subscription](t)(js.PullSubscribe("orders.*", "work", nats.Bind("ORDERS", "work")))
-	for i, m := range must[[]*nats.Msg](t)(sub.Fetch(2, nats.MaxWait(patience))) {
+	for i, m := range must[[]*nats.Msg](t)(sub.Fetch(2, nats.MaxWait(eventTimeout))) {
 		if string(m.Data) != fmt.Sprint("order ", i+1) {
 			t.Errorf("message %d is %s", i, m.Data)
 		}
@@ -127,7 +127,7 @@
 		if e == nil || string(e.Value()) != "12" {
 			t.Errorf("%+v", e)
 		}
-	case <-time.After(patience):
+	case <-time.After(eventTimeout):
 		t.Error("no update came")
 	}
 }
@@ -147,7 +147,7 @@
 
 // connectError is the error of a connection by the library; nil if it is admitted.
 func (s *conformanceRig) connectError(options ...nats.Option) error {
-	c, err := nats.Connect("nats://"+s.addrs["nats"], append(options, nats.Timeout(patience), nats.NoReconnect())...)
+	c, err := nats.Connect("nats://"+s.addrs["nats"], append(options, nats.Timeout(eventTimeout), nats.NoReconnect())...)
 	if err == nil {
 		c.Close()
 	}
@@ -213,7 +213,7 @@
 		s.stop()
 		select {
 		case <-lame:
-		case <-time.After(patience):
+		case <-time.After(eventTimeout):
 			t.Error("the client never saw the notice")
 		}
 	})},
@@ -279,7 +279,7 @@
 				c.Publish("secret", big)
 			}
 			for range 50 {
-				if m := must[*nats.Msg](t)(sub.NextMsg(patience)); len(m.Data) != len(big) {
+				if m := must[*nats.Msg](t)(sub.NextMsg(eventTimeout)); len(m.Data) != len(big) {
 					t.Fatalf("%d bytes came", len(m.Data))
 				}
 			}
@@ -338,7 +338,7 @@
 		c := s.libraryClient(t, nats.UserInfo("ann", "one"))
 		sub := must[*nats.Subscription](t)(c.SubscribeSync("by.tls"))
 		c.Publish("by.tls", []byte("x"))
-		must[*nats.Msg](t)(sub.NextMsg(patience))
+		must[*nats.Msg](t)(sub.NextMsg(eventTimeout))
 		mu.Lock()
 		defer mu.Unlock()
 		if len(names) != 1 || !names["relayword<nil>"] {
@@ -390,7 +390,7 @@
 			if err == nil || !strings.Contains(strings.ToLower(err.Error()), strings.ToLower(want)) {
 				t.Errorf("the library hears %v, want %s", err, want)
 			}
-		case <-time.After(patience):
+		case <-time.After(eventTimeout):
 			t.Errorf("the library never hears %s", want)
 		}
 	}
--- a/integration/nats_conformance_test.go
+++ b/integration/nats_conformance_test.go
@@ -76,7 +76,7 @@
 // libraryClient connects with the library.
 func (s *conformanceRig) libraryClient(t *testing.T, options ...nats.Option) *nats.Conn {
 	t.Helper()
-	c, err := nats.Connect("nats://"+s.addrs["nats"], append([]nats.Option{nats.Timeout(patience), nats.NoReconnect(),
+	c, err := nats.Connect("nats://"+s.addrs["nats"], append([]nats.Option{nats.Timeout(eventTimeout), nats.NoReconnect(),
 		nats.ErrorHandler(func(*nats.Conn, *nats.Subscription, error) {})}, options...)...)
 	if err != nil {
 		t.Fatal(err)
@@ -87,7 +87,7 @@
 
 func flush(t *testing.T, c *nats.Conn) {
 	t.Helper()
-	if err := c.FlushTimeout(patience); err != nil {
+	if err := c.FlushTimeout(eventTimeout); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -202,7 +202,7 @@
 		m.Header.Add("A", "1")
 		m.Header.Add("A", "2")
 		c.PublishMsg(m)
-		if got := must[*nats.Msg](t)(sub.NextMsg(patience)); fmt.Sprint(got.Header.Values("A")) != "[1 2]" {
+		if got := must[*nats.Msg](t)(sub.NextMsg(eventTimeout)); fmt.Sprint(got.Header.Values("A")) != "[1 2]" {
 			t.Errorf("%v", got.Header)
 		}
 	}},
@@ -310,7 +310,7 @@
 		}
 		c.wantLines("PONG")
 	}, lib: func(t *testing.T, s *conformanceRig) {
-		if _, err := s.libraryClient(t).Request("nobody", nil, patience); err != nats.ErrNoResponders {
+		if _, err := s.libraryClient(t).Request("nobody", nil, eventTimeout); err != nats.ErrNoResponders {
 			t.Error(err)
 		}
 	}},
@@ -321,7 +321,7 @@
 			c.Publish(fmt.Sprintf("ordered.%d", i%5), fmt.Append(nil, i))
 		}
 		for i := range 3000 {
-			if m := must[*nats.Msg](t)(sub.NextMsg(patience)); string(m.Data) != fmt.Sprint(i) {
+			if m := must[*nats.Msg](t)(sub.NextMsg(eventTimeout)); string(m.Data) != fmt.Sprint(i) {
 				t.Fatalf("message %d is %s", i, m.Data)
 			}
 		}
@@ -338,11 +338,11 @@
 		sub := must[*nats.Subscription](t)(b.SubscribeSync(inbox))
 		b.PublishRequest("many", inbox, nil)
 		for i := range 5 {
-			if m := must[*nats.Msg](t)(sub.NextMsg(patience)); string(m.Data) != fmt.Sprint(i) {
+			if m := must[*nats.Msg](t)(sub.NextMsg(eventTimeout)); string(m.Data) != fmt.Sprint(i) {
 				t.Errorf("reply %d is %s", i, m.Data)
 			}
 		}
-		if m := must[*nats.Msg](t)(b.Request("many", nil, patience)); string(m.Data) != "0" {
+		if m := must[*nats.Msg](t)(b.Request("many", nil, eventTimeout)); string(m.Data) != "0" {
 			t.Errorf("reply %s", m.Data)
 		}
 	}},
@@ -375,7 +375,7 @@
 		c.Drain()
 		select {
 		case <-closed:
-		case <-time.After(patience):
+		case <-time.After(eventTimeout):
 			t.Fatal("the connection never closed")
 		}
 		if got.Load() != 500 || c.LastError() != nil {
@@ -391,10 +391,10 @@
 		}
 		defer service.Stop()
 		flush(t, a)
-		if m := must[*nats.Msg](t)(b.Request("svc.balance", nil, patience)); string(m.Data) != "42" {
+		if m := must[*nats.Msg](t)(b.Request("svc.balance", nil, eventTimeout)); string(m.Data) != "42" {
 			t.Errorf("%s", m.Data)
 		}
-		if m := must[*nats.Msg](t)(b.Request("$SRV.PING.balance", nil, patience)); !strings.Contains(string(m.Data), `"name":"balance"`) {
+		if m := must[*nats.Msg](t)(b.Request("$SRV.PING.balance", nil, eventTimeout)); !strings.Contains(string(m.Data), `"name":"balance"`) {
 			t.Errorf("%s", m.Data)
 		}
 	}},
--- a/integration/nats_load_test.go
+++ b/integration/nats_load_test.go
@@ -42,7 +42,7 @@
 			r := natsRelay(t, k, front)
 			var mu sync.Mutex
 			refused, got := 0, 0
-			c, err := nats.Connect("nats://"+r.addrs["nats"], nats.Timeout(patience), nats.ErrorHandler(func(_ *nats.Conn, _ *nats.Subscription, err error) {
+			c, err := nats.Connect("nats://"+r.addrs["nats"], nats.Timeout(eventTimeout), nats.ErrorHandler(func(_ *nats.Conn, _ *nats.Subscription, err error) {
 				mu.Lock()
 				refused++
 				t.Log(err)
@@ -66,7 +66,7 @@
 					t.Fatal(err)
 				}
 			}
-			if err := c.FlushTimeout(patience); err != nil {
+			if err := c.FlushTimeout(eventTimeout); err != nil {
 				t.Fatal(err)
 			}
 			waitFor(t, "all messages", func() bool { mu.Lock(); defer mu.Unlock(); return got == many })
--- a/integration/nats_test.go
+++ b/integration/nats_test.go
@@ -42,7 +42,7 @@
 // connect is a client of the public library.
 func (s *natsRig) connect(options ...nats.Option) *nats.Conn {
 	s.t.Helper()
-	options = append(options, nats.Timeout(patience), nats.NoReconnect(),
+	options = append(options, nats.Timeout(eventTimeout), nats.NoReconnect(),
 		nats.ErrorHandler(func(*nats.Conn, *nats.Subscription, error) {}))
 	c, err := nats.Connect("nats://"+s.addrs["nats"], options...)
 	if err != nil {
@@ -64,7 +64,7 @@
 
 func (s *natsRig) flush(c *nats.Conn) {
 	s.t.Helper()
-	if err := c.FlushTimeout(patience); err != nil {
+	if err := c.FlushTimeout(eventTimeout); err != nil {
 		s.t.Fatal(err)
 	}
 }
@@ -82,16 +82,16 @@
 	if err := b.PublishMsg(m); err != nil {
 		t.Fatal(err)
 	}
-	got := must[*nats.Msg](t)(sub.NextMsg(patience))
+	got := must[*nats.Msg](t)(sub.NextMsg(eventTimeout))
 	if got.Subject != "status.one" || string(got.Data) != "paid" || got.Header.Get("Trace") != "7" {
 		t.Errorf("got %+v", got)
 	}
 	must[*nats.Subscription](t)(a.Subscribe("refund.check", func(m *nats.Msg) { m.Respond(append([]byte("yes "), m.Data...)) }))
 	s.flush(a)
-	if got := must[*nats.Msg](t)(b.Request("refund.check", []byte("42"), patience)); string(got.Data) != "yes 42" {
+	if got := must[*nats.Msg](t)(b.Request("refund.check", []byte("42"), eventTimeout)); string(got.Data) != "yes 42" {
 		t.Errorf("reply %q", got.Data)
 	}
-	if _, err := b.Request("refund.nobody", nil, patience); !errors.Is(err, nats.ErrNoResponders) {
+	if _, err := b.Request("refund.nobody", nil, eventTimeout); !errors.Is(err, nats.ErrNoResponders) {
 		t.Errorf("nobody listens: %v", err)
 	}
 	shared := make(chan *nats.Msg, 100)
@@ -108,7 +108,7 @@
 		select {
 		case m := <-shared:
 			seen[string(m.Data)]++
-		case <-time.After(patience):
+		case <-time.After(eventTimeout):
 			t.Fatalf("%d of 20 jobs came", len(seen))
 		}
 	}
@@ -122,8 +122,8 @@
 		b.Publish("few", fmt.Append(nil, "few ", i))
 	}
 	s.flush(b)
-	must[*nats.Msg](t)(few.NextMsg(patience))
-	must[*nats.Msg](t)(few.NextMsg(patience))
+	must[*nats.Msg](t)(few.NextMsg(eventTimeout))
+	must[*nats.Msg](t)(few.NextMsg(eventTimeout))
 	waitFor(t, "its end at the node", func() bool { return fmt.Sprint(s.k.Subscriptions("few")) == "[0 0 0]" })
 	if err := b.Publish("status.big", make([]byte, 70000)); !errors.Is(err, nats.ErrMaxPayload) {
 		t.Errorf("a payload over the limit: %v", err)
@@ -164,7 +164,7 @@
 	for n := range 8 {
 		select {
 		case <-got:
-		case <-time.After(patience):
+		case <-time.After(eventTimeout):
 			t.Fatalf("%d of 8 came after the drain", n)
 		}
 	}
@@ -176,7 +176,7 @@
 }
 
 // checkStored reads the store back: one answer for each request, its attempts one after another, three at most, and at least a
-// number of answers of each kind.
+// planNumber of answers of each kind.
 func (s *natsRig) checkStored(least map[string]int) {
 	s.t.Helper()
 	count := s.queryCount
@@ -258,7 +258,7 @@
 	for what, ch := range map[string]chan bool{"the notice": lame, "the end": closed} {
 		select {
 		case <-ch:
-		case <-time.After(patience):
+		case <-time.After(eventTimeout):
 			t.Errorf("the client never saw %s", what)
 		}
 	}
@@ -278,7 +278,7 @@
 	control := must[*nats.Subscription](t)(c.SubscribeSync("_dahlia.control.one"))
 	call := func(subject, text string) processorVerdict {
 		t.Helper()
-		m := must[*nats.Msg](t)(c.Request("_dahlia."+subject, []byte(text), patience))
+		m := must[*nats.Msg](t)(c.Request("_dahlia."+subject, []byte(text), eventTimeout))
 		var v processorVerdict
 		if err := json.Unmarshal(m.Data, &v); err != nil {
 			t.Fatal(err)
@@ -319,7 +319,7 @@
 	s.d.SetLifecycle(open.Member, "DRAINING")
 	next := func(want string) {
 		t.Helper()
-		m := must[*nats.Msg](t)(control.NextMsg(patience))
+		m := must[*nats.Msg](t)(control.NextMsg(eventTimeout))
 		if !strings.Contains(string(m.Data), `"verdict":"`+want+`"`) {
 			t.Fatalf("control got %s, want %s", m.Data, want)
 		}
@@ -333,7 +333,7 @@
 	if v := call("pick", `{"class":"unheard-of"}`); v.Verdict != "error" {
 		t.Errorf("verdict %+v", v)
 	}
-	if _, err := c.Request("_dahlia.nothing", nil, patience); !errors.Is(err, nats.ErrNoResponders) {
+	if _, err := c.Request("_dahlia.nothing", nil, eventTimeout); !errors.Is(err, nats.ErrNoResponders) {
 		t.Errorf("an unknown reserved subject: %v", err)
 	}
 	c.Close()
@@ -377,7 +377,7 @@
 // users.
 func TestDeployed(t *testing.T) {
 	dir := t.TempDir()
-	if out, err := run("keys", "certificate", "--dir", filepath.Join(dir, "tls")); err != nil {
+	if out, err := runCommand("keys", "certificate", "--dir", filepath.Join(dir, "tls")); err != nil {
 		t.Fatalf("%v, %s", err, out)
 	}
 	k := newCluster(t, 2)
@@ -391,13 +391,13 @@
 	}
 	path := filepath.Join(dir, "nats.json")
 	writeFile(t, path, text)
-	if out, err := run("check", "--config", path); err != nil {
+	if out, err := runCommand("check", "--config", path); err != nil {
 		t.Fatalf("%v, %s", err, out)
 	}
 	r := start(t, path, 1)
 	ca := nats.RootCAs(filepath.Join(dir, "tls", "ca.pem"))
 	connect := func(user, word string) (*nats.Conn, error) {
-		return nats.Connect("nats://"+r.addrs["nats"], ca, nats.UserInfo(user, word), nats.Timeout(patience), nats.NoReconnect())
+		return nats.Connect("nats://"+r.addrs["nats"], ca, nats.UserInfo(user, word), nats.Timeout(eventTimeout), nats.NoReconnect())
 	}
 	desk := must[*nats.Conn](t)(connect("status-desk", "desk-trial"))
 	defer desk.Close()
@@ -409,7 +409,7 @@
 	sub := must[*nats.Subscription](t)(desk.SubscribeSync("status.>"))
 	flush(t, desk)
 	billing.Publish("status.paid", []byte("42"))
-	if m := must[*nats.Msg](t)(sub.NextMsg(patience)); string(m.Data) != "42" {
+	if m := must[*nats.Msg](t)(sub.NextMsg(eventTimeout)); string(m.Data) != "42" {
 		t.Errorf("got %s", m.Data)
 	}
 }
@@ -421,7 +421,7 @@
 	first, second := s.connect(nats.CustomInboxPrefix("_dahlia.inbox")), s.connect(nats.CustomInboxPrefix("_dahlia.inbox"))
 	call := func(c *nats.Conn, subject, text string) (v processorVerdict) {
 		t.Helper()
-		m := must[*nats.Msg](t)(c.Request("_dahlia."+subject, []byte(text), patience))
+		m := must[*nats.Msg](t)(c.Request("_dahlia."+subject, []byte(text), eventTimeout))
 		if err := json.Unmarshal(m.Data, &v); err != nil {
 			t.Fatal(err)
 		}
--- a/integration/operator_test.go
+++ b/integration/operator_test.go
@@ -9,11 +9,11 @@
 	"testing"
 )
 
-// newOperatedRig is a site whose relay has a second address.
-func newOperatedRig(t *testing.T, members int, more map[string]any) *lineRig {
+// newOperatorRig is a site whose relay has a second address.
+func newOperatorRig(t *testing.T, members int, extra map[string]any) *lineRig {
 	t.Helper()
 	all := map[string]any{"operator": "127.0.0.1:0"}
-	for k, v := range more {
+	for k, v := range extra {
 		all[k] = v
 	}
 	return newLineRig(t, members, all)
@@ -22,7 +22,7 @@
 // TestOperatorEjection: an ejected member gets nothing more and its clients move, also when discovery lists it again and after
 // SIGHUP; a second ejection changes nothing, one reinstatement undoes both, and the member is used again.
 func TestOperatorEjection(t *testing.T) {
-	s := newOperatedRig(t, 2, nil)
+	s := newOperatorRig(t, 2, nil)
 	if code := s.call("GET", "/-/ready"); code != 200 {
 		t.Errorf("ready: %d", code)
 	}
@@ -57,22 +57,22 @@
 		n++
 		return s.memberOfFlow(s.openFlow(n, "").wantLine("UP ")) == b
 	})
-	checkAttemptCounter(t, s.tries)
+	checkAttemptCounter(t, s.attemptCounter)
 	s.stop()
 }
 
 // TestOperatorDrain: a drained relay reports that to the front at once, serves what still arrives and moves everyone; resumed,
 // it accepts clients and keeps them.
 func TestOperatorDrain(t *testing.T) {
-	s := newOperatedRig(t, 2, nil)
-	held := s.openFlows(6)
+	s := newOperatorRig(t, 2, nil)
+	flows := s.openFlows(6)
 	front := s.dial()
 	s.mustPut("/-/drain")
 	front.send("PING")
 	front.wantLine("ERR")
 	late := s.openFlow(10, "")
 	late.wantLine("UP ")
-	wantMoved(append(held, late)...)
+	wantMoved(append(flows, late)...)
 	if code := s.call("GET", "/-/ready"); code != 200 {
 		t.Errorf("ready while drained: %d", code)
 	}
@@ -90,7 +90,7 @@
 // TestOperatorSlowCallers: idle callers keep neither operators nor clients out, also when clients have every descriptor they
 // may have.
 func TestOperatorSlowCallers(t *testing.T) {
-	s := newOperatedRig(t, 1, map[string]any{"limits": map[string]any{"cores": 1, "memory_mb": 32, "sockets": 100}})
+	s := newOperatorRig(t, 1, map[string]any{"limits": map[string]any{"cores": 1, "memory_mb": 32, "sockets": 100}})
 	for range 100 {
 		s.dial()
 	}
@@ -111,25 +111,25 @@
 
 // TestOperatorTornState: a file that an earlier process left half-written prevents no start, and ejections can be stored again.
 func TestOperatorTornState(t *testing.T) {
-	s := newOperatedRig(t, 2, nil)
-	id := s.backends[0].id
+	s := newOperatorRig(t, 2, nil)
+	id := s.members[0].id
 	s.mustPut("/-/backends/" + id + "/disable")
 	s.cmd.Process.Kill()
 	<-s.done
-	kept, _ := filepath.Glob(filepath.Join(filepath.Dir(s.configPath), "dahliarudder-*", "bans.json"))
-	if len(kept) != 1 {
-		t.Fatalf("kept in %v", kept)
+	stored, _ := filepath.Glob(filepath.Join(filepath.Dir(s.configPath), "dahliarudder-*", "bans.json"))
+	if len(stored) != 1 {
+		t.Fatalf("kept in %v", stored)
 	}
-	again := start(t, s.configPath, 2)
-	again.waitLogged("msg=ejected member=" + id)
-	again.cmd.Process.Kill()
-	<-again.done
-	writeFile(t, kept[0], `["`+id[:4])
-	torn := start(t, s.configPath, 2)
-	torn.waitLogged("no ejection is in force")
-	torn.mustPut("/-/backends/" + id + "/disable")
-	if text, err := os.ReadFile(kept[0]); err != nil || string(text) != `["`+id+`"]` {
+	second := start(t, s.configPath, 2)
+	second.waitLogged("msg=ejected member=" + id)
+	second.cmd.Process.Kill()
+	<-second.done
+	writeFile(t, stored[0], `["`+id[:4])
+	third := start(t, s.configPath, 2)
+	third.waitLogged("no ejection is in force")
+	third.mustPut("/-/backends/" + id + "/disable")
+	if text, err := os.ReadFile(stored[0]); err != nil || string(text) != `["`+id+`"]` {
 		t.Errorf("kept %q, %v", text, err)
 	}
-	torn.stop()
+	third.stop()
 }
--- a/integration/peers_test.go
+++ b/integration/peers_test.go
@@ -94,7 +94,7 @@
 }
 
 func (c *gossipRig) peersAnswer(i int) (a peersAnswer) {
-	client := http.Client{Timeout: patience, Transport: &http.Transport{DisableKeepAlives: true}}
+	client := http.Client{Timeout: eventTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	answer, err := client.Get("http://" + c.relays[i].addrs["operator"] + "/-/peers")
 	if err != nil {
 		return a
@@ -289,9 +289,9 @@
 // TestPeersObservations: what one relay observes of its members reaches the others.
 func TestPeersObservations(t *testing.T) {
 	c := newGossipRig(t, 2, false)
-	b := newBackend(t, "s-5be2a000", fakes.NewAttemptCounter())
+	b := newFakeMember(t, "s-5be2a000", fakes.NewAttemptCounter())
 	b.SetMode(fakes.ModeErr)
-	c.d.Put(b.member())
+	c.d.Put(b.entry())
 	waitFor(t, "n1 to hear what n0 saw", func() bool {
 		c.relays[0].openFlow(int(time.Now().UnixNano()&0xffffff), "").line()
 		for _, p := range c.peersAnswer(1).Peers {
@@ -309,9 +309,9 @@
 // have timed out.
 func TestPeersStale(t *testing.T) {
 	c := newGossipRig(t, 3, false)
-	a, b := newBackend(t, "s-5be2a000", fakes.NewAttemptCounter()), newBackend(t, "s-5be2a001", fakes.NewAttemptCounter())
-	c.d.Put(a.member())
-	c.d.Put(b.member())
+	a, b := newFakeMember(t, "s-5be2a000", fakes.NewAttemptCounter()), newFakeMember(t, "s-5be2a001", fakes.NewAttemptCounter())
+	c.d.Put(a.entry())
+	c.d.Put(b.entry())
 	pipe, err := fakes.NewTCPProxy(c.d.addr)
 	if err != nil {
 		t.Fatal(err)
@@ -341,13 +341,13 @@
 	path := configure(t, d, map[string]any{"peers": map[string]any{"listen": "127.0.0.1:0", "key_file": "key"}})
 	key := filepath.Join(filepath.Dir(path), "key")
 	writeFile(t, key, gossipRigKey)
-	if out, err := run("check", "--config", path); err != nil {
+	if out, err := runCommand("check", "--config", path); err != nil {
 		t.Errorf("%v, %s", err, out)
 	}
 	if err := os.Chmod(key, 0o644); err != nil {
 		t.Fatal(err)
 	}
-	if out, err := run("check", "--config", path); err == nil || !strings.Contains(out, "0600") {
+	if out, err := runCommand("check", "--config", path); err == nil || !strings.Contains(out, "0600") {
 		t.Errorf("%v, %s", err, out)
 	}
 }
@@ -368,7 +368,7 @@
 	var took []time.Duration
 	c.relays[n/2].cmd.Process.Kill()
 	began, seen := time.Now(), map[int]bool{n / 2: true}
-	for len(seen) < n && time.Since(began) < patience {
+	for len(seen) < n && time.Since(began) < eventTimeout {
 		for i := range n {
 			if !seen[i] && c.peersAnswer(i).Live < n {
 				seen[i] = true
--- a/integration/pushed_lists_test.go
+++ b/integration/pushed_lists_test.go
@@ -9,30 +9,30 @@
 	"dahliarudder/internal/fakes"
 )
 
-// pushedText are the settings used here with pushed lists: an agent beside the relay has the lists, and what it has counts as
+// pushedListSettings are the settings used here with pushed lists: an agent beside the relay has the lists, and what it has counts as
 // delivered, whether or not a watch is open.
-var pushedText = json.RawMessage(strings.Replace(settingsText, `"discovery":"subscribe"`, `"discovery":"automatic"`, 1))
+var pushedListSettings = json.RawMessage(strings.Replace(settingsText, `"discovery":"subscribe"`, `"discovery":"automatic"`, 1))
 
-// newPushedRig is a relay among members that answer by themselves; the first one's lifecycle is listed by an agent, and the
+// newPushedListRig is a relay among members that answer by themselves; the first one's lifecycle is listed by an agent, and the
 // relay's own last list does not have it.
-func newPushedRig(t *testing.T, lifecycle string) *scriptedRig {
+func newPushedListRig(t *testing.T, lifecycle string) *scriptedRig {
 	t.Helper()
 	s := &scriptedRig{}
 	var list []member
-	s.members, list = newMembers(t, 2, fakes.NewAttemptCounter())
+	s.members, list = newScriptedMembers(t, 2, fakes.NewAttemptCounter())
 	s.attemptCounter = s.members[0].attempts
 	for _, m := range s.members {
 		m.setAutoAccept(true)
 	}
 	s.d = newDiscovery(t, list...)
-	config := configure(t, s.d, map[string]any{"settings": pushedText})
+	config := configure(t, s.d, map[string]any{"settings": pushedListSettings})
 	s.d.SetLifecycle(s.members[0].id, lifecycle)
 	s.relay = start(t, config, 1)
 	return s
 }
 
-// wantFirstAvoided opens requests, none of which may go to the first member any more once the grace is over.
-func (s *scriptedRig) wantFirstAvoided(from int) {
+// wantFirstMemberUnused opens requests, none of which may go to the first member any more once the grace is over.
+func (s *scriptedRig) wantFirstMemberUnused(from int) {
 	s.t.Helper()
 	time.Sleep(drainGrace + socketTolerance)
 	before := len(s.members[0].arrivals())
@@ -52,24 +52,24 @@
 	t.Parallel()
 	t.Run("from the first moment", func(t *testing.T) {
 		t.Parallel()
-		newPushedRig(t, "DRAINING").wantFirstAvoided(100)
+		newPushedListRig(t, "DRAINING").wantFirstMemberUnused(100)
 	})
 	t.Run("while it runs", func(t *testing.T) {
 		t.Parallel()
-		s := newPushedRig(t, "SERVING")
+		s := newPushedListRig(t, "SERVING")
 		waitFor(t, "a watch", func() bool { return s.d.Calls() > 1 })
 		s.d.SetLifecycle(s.members[0].id, "DRAINING")
-		s.wantFirstAvoided(100)
+		s.wantFirstMemberUnused(100)
 	})
 	t.Run("after an outage", func(t *testing.T) {
 		t.Parallel()
-		s := newPushedRig(t, "SERVING")
+		s := newPushedListRig(t, "SERVING")
 		waitFor(t, "a watch", func() bool { return s.d.Calls() > 1 })
 		s.d.SetDown(true)
 		calls := s.d.Calls()
 		waitFor(t, "failures in a row", func() bool { return s.d.Calls() > calls+8 })
 		s.d.SetLifecycle(s.members[0].id, "DRAINING")
 		s.d.SetDown(false)
-		s.wantFirstAvoided(100)
+		s.wantFirstMemberUnused(100)
 	})
 }
--- a/integration/ready_test.go
+++ b/integration/ready_test.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// readyMost is within which nine in ten restarted relays have to be ready.
-const readyMost = 10 * time.Second
+// readyLimit is within which nine in ten restarted relays have to be ready.
+const readyLimit = 10 * time.Second
 
 // TestReadyInTime: relays that return while discovery is down, slow, crowded or silent, or while their state cannot be read,
 // are all ready in time, with their last list; and they serve.
 func TestReadyInTime(t *testing.T) {
 	t.Parallel()
-	for what, trouble := range map[string]func(t *testing.T, d *discovery, dir string){
+	for name, impair := range map[string]func(t *testing.T, d *discovery, dir string){
 		"down": func(_ *testing.T, d *discovery, _ string) { d.SetDown(true) },
 		"slow": func(_ *testing.T, d *discovery, _ string) { d.SetAnswerDelay(2 * time.Second) },
 		"mute": func(_ *testing.T, d *discovery, _ string) { d.SetAnswerDelay(time.Hour) },
@@ -24,21 +24,21 @@
 			writeFile(t, filepath.Join(dir, "snapshot"), "half of one")
 		},
 	} {
-		t.Run(what, func(t *testing.T) {
+		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			const relays = 10
-			b := newBackend(t, "s-00000001", nil)
-			d := newDiscovery(t, b.member())
+			b := newFakeMember(t, "s-00000001", nil)
+			d := newDiscovery(t, b.entry())
 			dir := filepath.Join(t.TempDir(), "state")
 			if err := os.Mkdir(dir, 0o700); err != nil {
 				t.Fatal(err)
 			}
 			var all []*relay
-			trouble(t, d, dir)
-			began := time.Now()
+			impair(t, d, dir)
+			startedAt := time.Now()
 			for n := range relays {
 				more := map[string]any{"name": fmt.Sprint("n", n)}
-				if what == "state" {
+				if name == "state" {
 					more["state"] = map[string]any{"dir": dir}
 				}
 				all = append(all, launch(t, configure(t, d, more)))
@@ -49,13 +49,13 @@
 				c := r.dial()
 				c.send("PING")
 				c.wantLine("PONG")
-				if took := time.Since(began); took > readyMost {
+				if took := time.Since(startedAt); took > readyLimit {
 					slow++
 				}
 				r.openFlow(n, "").wantLine("UP ")
 			}
 			if slow > relays/10 {
-				t.Errorf("%d of %d relays took over %v", slow, relays, readyMost)
+				t.Errorf("%d of %d relays took over %v", slow, relays, readyLimit)
 			}
 		})
 	}
--- a/integration/rig_test.go
+++ b/integration/rig_test.go
@@ -25,8 +25,8 @@
 	"dahliarudder/internal/fakes"
 )
 
-// patience is how long a test waits for an event. Only a failing test waits that long.
-const patience = 30 * time.Second
+// eventTimeout is how long a test waits for an event. Only a failing test waits that long.
+const eventTimeout = 30 * time.Second
 
 var program string
 
@@ -35,9 +35,9 @@
 
 func TestMain(m *testing.M) {
 	flag.Parse()
-	given := false
-	flag.Visit(func(f *flag.Flag) { given = given || f.Name == "test.parallel" })
-	if !given && runtime.GOMAXPROCS(0) < minParallel {
+	parallelSet := false
+	flag.Visit(func(f *flag.Flag) { parallelSet = parallelSet || f.Name == "test.parallel" })
+	if !parallelSet && runtime.GOMAXPROCS(0) < minParallel {
 		flag.Set("test.parallel", strconv.Itoa(minParallel))
 	}
 	dir, err := os.MkdirTemp("", "dahliarudder")
@@ -58,11 +58,11 @@
 }
 
 // waitFor waits until ok returns true.
-func waitFor(t testing.TB, what string, ok func() bool) {
+func waitFor(t testing.TB, event string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !ok(); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(eventTimeout); !ok(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("waited in vain: %s", what)
+			t.Fatalf("waited in vain: %s", event)
 		}
 	}
 }
@@ -89,9 +89,9 @@
 
 var loopbackPorts struct {
 	sync.Mutex
-	host string
-	hold net.Listener
-	last int
+	host   string
+	holder net.Listener
+	last   int
 }
 
 const (
@@ -106,12 +106,12 @@
 	t.Helper()
 	loopbackPorts.Lock()
 	defer loopbackPorts.Unlock()
-	for n := os.Getpid(); loopbackPorts.hold == nil; n++ {
+	for n := os.Getpid(); loopbackPorts.holder == nil; n++ {
 		if n-os.Getpid() == 1000 {
 			t.Fatal("no address of the loopback is free")
 		}
 		loopbackPorts.host = fmt.Sprintf("127.64.%d.%d", n/250%250, 1+n%250)
-		loopbackPorts.hold, _ = net.Listen("tcp", fmt.Sprintf("%s:%d", loopbackPorts.host, firstReservedPort)) // until this process ends
+		loopbackPorts.holder, _ = net.Listen("tcp", fmt.Sprintf("%s:%d", loopbackPorts.host, firstReservedPort)) // until this process ends
 	}
 	for loopbackPorts.last++; loopbackPorts.last < reservedPorts; loopbackPorts.last++ {
 		addr := fmt.Sprintf("%s:%d", loopbackPorts.host, firstReservedPort+loopbackPorts.last)
@@ -131,7 +131,7 @@
 
 // ---- Fakes ----
 
-// member is an entry of discovery's list.
+// entry is an entry of discovery's list.
 type member = fakes.Entry
 
 // discovery is a fake discovery service at one address.
@@ -147,7 +147,7 @@
 	return d
 }
 
-// open serves the list at one more address.
+// answerOpen serves the list at one more address.
 func (d *discovery) open(t testing.TB) string {
 	t.Helper()
 	addr, err := d.Open("", nil)
@@ -157,38 +157,38 @@
 	return addr
 }
 
-// backend is a fake pool member with unlimited capacity.
-type backend struct {
+// fakeMember is a fake pool member with unlimited capacity.
+type fakeMember struct {
 	*fakes.Member
 	id string
 }
 
-func newBackend(t *testing.T, id string, c *fakes.AttemptCounter) *backend {
-	b := &backend{fakes.NewMember(id), id}
-	b.Attempts = c
+func newFakeMember(t *testing.T, id string, counter *fakes.AttemptCounter) *fakeMember {
+	b := &fakeMember{fakes.NewMember(id), id}
+	b.Attempts = counter
 	if _, err := b.Open(""); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
 		b.Kill()
-		if bad := b.bad(); len(bad) > 0 {
+		if bad := b.invalidFirstLines(); len(bad) > 0 {
 			t.Errorf("%s got first lines that no client may send: %q", id, bad)
 		}
 	})
 	return b
 }
 
-func (b *backend) member() member {
+func (b *fakeMember) entry() member {
 	return member{ID: b.id, Addr: b.Addr(), Zone: "a", Kind: "m1", Lifecycle: "SERVING", Weight: 1}
 }
 
-func (b *backend) firstLines() []string {
+func (b *fakeMember) firstLines() []string {
 	all, _ := b.FirstLines()
 	return all
 }
 
-// bad returns the first lines that no client may send.
-func (b *backend) bad() []string {
+// invalidFirstLines returns the first lines that no client may send.
+func (b *fakeMember) invalidFirstLines() []string {
 	_, bad := b.FirstLines()
 	return bad
 }
@@ -232,12 +232,12 @@
 }
 
 // configure writes a configuration with further keys.
-func configure(t testing.TB, d *discovery, more map[string]any) string {
+func configure(t testing.TB, d *discovery, extra map[string]any) string {
 	t.Helper()
 	c := map[string]any{"name": "n0", "listen": "127.0.0.1:0", "discovery": d.addr, "seed": "8c1f30d27a5be964",
 		"limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024}, "known": d.Snapshot(nil),
 		"settings": json.RawMessage(settingsText)}
-	for k, v := range more {
+	for k, v := range extra {
 		c[k] = v
 	}
 	text, err := json.Marshal(c)
@@ -256,7 +256,7 @@
 	}
 }
 
-var serving = regexp.MustCompile(`msg=serving front=(\w+) listen="([0-9.:]+)"`)
+var servingLine = regexp.MustCompile(`msg=serving front=(\w+) listen="([0-9.:]+)"`)
 
 // start starts the program and waits until it serves.
 func start(t testing.TB, config string, fronts int) *relay {
@@ -273,14 +273,14 @@
 }
 
 // launchProgram starts a program as the relay, with further environment variables.
-func launchProgram(t testing.TB, path, config string, more ...string) *relay {
+func launchProgram(t testing.TB, path, config string, env ...string) *relay {
 	t.Helper()
 	r := &relay{t: t, cmd: exec.Command(path, "serve", "--config", config), log: &syncBuffer{},
 		done: make(chan error, 1), addrs: map[string]string{}, configPath: config}
 	r.cmd.Stderr = r.log
 	r.cmd.Env = append(os.Environ(), "EDGE_NAME=", "EDGE_LISTEN=", "EDGE_DISCOVERY=", "EDGE_CONFIG=", "EDGE_OPERATOR=",
 		"TMPDIR="+filepath.Dir(config)) // private, and shared by all processes with this file
-	r.cmd.Env = append(r.cmd.Env, more...)
+	r.cmd.Env = append(r.cmd.Env, env...)
 	if err := r.cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -298,7 +298,7 @@
 func (r *relay) waitServing(fronts int) {
 	r.t.Helper()
 	waitFor(r.t, "the relay to serve", func() bool {
-		for _, m := range serving.FindAllStringSubmatch(r.log.String(), -1) {
+		for _, m := range servingLine.FindAllStringSubmatch(r.log.String(), -1) {
 			r.addrs[m[1]] = m[2]
 		}
 		select {
@@ -317,7 +317,7 @@
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	c := http.Client{Timeout: patience, Transport: &http.Transport{DisableKeepAlives: true}}
+	c := http.Client{Timeout: eventTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	answer, err := c.Do(q)
 	if err != nil {
 		r.t.Fatal(err)
@@ -360,7 +360,7 @@
 		if err != nil {
 			r.t.Errorf("the relay ended with %v", err)
 		}
-	case <-time.After(patience):
+	case <-time.After(eventTimeout):
 		r.t.Fatal("the relay does not end")
 	}
 }
@@ -386,32 +386,32 @@
 		r.t.Fatal(err)
 	}
 	r.t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(eventTimeout))
 	return &client{t: r.t, Conn: c, in: bufio.NewReader(c)}
 }
 
 // openFlow sends the first line of request number n.
-func (r *relay) openFlow(n int, more string) *client {
+func (r *relay) openFlow(n int, extraFields string) *client {
 	r.t.Helper()
 	c := r.dial()
-	c.send(fmt.Sprintf("OPEN %016x %016x c=pay-status,t=water,d=2900,g=%016x%s", n, n+1, n+2, more))
+	c.send(fmt.Sprintf("OPEN %016x %016x c=pay-status,t=water,d=2900,g=%016x%s", n, n+1, n+2, extraFields))
 	return c
 }
 
 // openFlows opens flows that are accepted.
-func (r *relay) openFlows(n int) (held []*client) {
+func (r *relay) openFlows(n int) (flows []*client) {
 	r.t.Helper()
 	for i := range n {
 		c := r.openFlow(i, "")
 		c.wantLine("UP ")
-		held = append(held, c)
+		flows = append(flows, c)
 	}
-	return held
+	return flows
 }
 
 // wantMoved expects MOVE and the end of the connection on each flow.
-func wantMoved(held ...*client) {
-	for _, c := range held {
+func wantMoved(flows ...*client) {
+	for _, c := range flows {
 		c.t.Helper()
 		c.wantLine("MOVE")
 		c.wantLine(io.EOF.Error())
@@ -450,8 +450,8 @@
 	return r.dialFront("nats")
 }
 
-// run runs a sub-command.
-func run(args ...string) (string, error) {
+// runCommand runs a sub-command.
+func runCommand(args ...string) (string, error) {
 	out, err := exec.Command(program, args...).CombinedOutput()
 	return string(out), err
 }
--- a/integration/short_deadlines_test.go
+++ b/integration/short_deadlines_test.go
@@ -44,9 +44,9 @@
 					flows = append(flows, c)
 				}
 			}
-			var held []*client
+			var unanswered []*client
 			for n := range 4 { // of these no member says a word
-				held = append(held, s.openWithDeadline(100+n, longest))
+				unanswered = append(unanswered, s.openWithDeadline(100+n, longest))
 				s.nextAttempt()
 			}
 			since := s.terminate()
@@ -70,7 +70,7 @@
 			for _, c := range flows {
 				c.wantLine("MOVE")
 			}
-			for _, c := range held {
+			for _, c := range unanswered {
 				if answer := c.line(); !strings.HasPrefix(answer, "BUSY") && answer != "ERR" {
 					t.Errorf("a held request got %q", answer)
 				}
--- a/integration/store_test.go
+++ b/integration/store_test.go
@@ -12,7 +12,7 @@
 func TestPostgres(t *testing.T) {
 	p := newPostgres(t)
 	s := newLineRig(t, 3, map[string]any{"store": map[string]any{"driver": "postgres", "dsn": p.dsn()}})
-	s.backends[0].SetMode("err")
+	s.members[0].SetMode("err")
 	for n := range 10 {
 		c := s.openFlow(n, "")
 		if answer := c.line(); strings.HasPrefix(answer, "UP ") {
@@ -34,9 +34,9 @@
 		}
 		return strings.HasPrefix(answer, "BUSY ") && strings.Contains(s.log.String(), "the store fails")
 	})
-	attempts := s.backends[1].firstLines()
+	attempts := s.members[1].firstLines()
 	s.openFlow(999, "").wantLine("BUSY ")
-	if got := s.backends[1].firstLines(); len(got) != len(attempts) {
+	if got := s.members[1].firstLines(); len(got) != len(attempts) {
 		t.Error("a request was sent on that nothing records")
 	}
 	p.setDown(false)
@@ -60,14 +60,14 @@
 	if got := len(p.tableRows("attempts")); got != tries {
 		t.Errorf("%d attempts recorded, %d counted", got, tries)
 	}
-	checkAttemptCounter(t, s.tries)
+	checkAttemptCounter(t, s.attemptCounter)
 }
 
 // TestStoreMissing: a relay that cannot reach its store does not start.
 func TestStoreMissing(t *testing.T) {
 	d := newDiscovery(t)
 	path := configure(t, d, map[string]any{"store": map[string]any{"driver": "sqlite", "dsn": "/nowhere/at/all/record.db"}})
-	out, err := run("serve", "--config", path)
+	out, err := runCommand("serve", "--config", path)
 	if err == nil || !strings.Contains(out, "store") {
 		t.Errorf("%v, %s", err, out)
 	}
--- a/integration/suspend_test.go
+++ b/integration/suspend_test.go
@@ -20,11 +20,11 @@
 	s.openFlows(6)
 	s.cmd.Process.Signal(syscall.SIGSTOP)
 	time.Sleep(4500 * time.Millisecond) // the call that was out has its answer
-	for _, b := range s.backends[1:] {
+	for _, b := range s.members[1:] {
 		s.d.SetLifecycle(b.id, "DRAINING")
 	}
-	before := make([]int, len(s.backends))
-	for i, b := range s.backends {
+	before := make([]int, len(s.members))
+	for i, b := range s.members {
 		before[i] = len(b.firstLines())
 	}
 	time.Sleep(2500 * time.Millisecond) // longer than a call to discovery waits
@@ -36,11 +36,11 @@
 	}
 	s.cmd.Process.Signal(syscall.SIGCONT)
 	for _, c := range all {
-		if line := c.line(); !strings.HasPrefix(line, "UP "+s.backends[0].id+"/") && !strings.HasPrefix(line, "BUSY") {
+		if line := c.line(); !strings.HasPrefix(line, "UP "+s.members[0].id+"/") && !strings.HasPrefix(line, "BUSY") {
 			t.Errorf("answered %q", line)
 		}
 	}
-	for i, b := range s.backends[1:] {
+	for i, b := range s.members[1:] {
 		if lines := b.firstLines(); len(lines) > before[i+1] {
 			t.Errorf("%d new requests at %s, which drains", len(lines)-before[i+1], b.id)
 		}
@@ -48,7 +48,7 @@
 	if strings.Contains(s.log.String(), "discovery call failed") {
 		t.Error("an answer that had come was held for missing")
 	}
-	checkAttemptCounter(t, s.tries)
+	checkAttemptCounter(t, s.attemptCounter)
 }
 
 // TestSnapshotRestore: a relay that is killed continues from its snapshot: what it reports as restored, where the list is from
@@ -58,12 +58,12 @@
 	s := newLineRig(t, 3, map[string]any{"operator": "127.0.0.1:0", "state": map[string]any{"dir": "state", "every_ms": 1000}, "known": nil})
 	waitFor(t, "the list", func() bool { return s.call("GET", "/-/ready") == 200 })
 	s.openFlows(3)
-	at := filepath.Join(filepath.Dir(s.configPath), "state", "snapshot")
-	waitFor(t, "a snapshot", func() bool { _, err := os.Stat(at); return err == nil })
+	snapshotPath := filepath.Join(filepath.Dir(s.configPath), "state", "snapshot")
+	waitFor(t, "a snapshot", func() bool { _, err := os.Stat(snapshotPath); return err == nil })
 	s.d.SetDown(true)
 	s.cmd.Process.Kill()
 	<-s.done
-	said := func(r *relay) string {
+	recoveryText := func(r *relay) string {
 		t.Helper()
 		answer, err := http.Get("http://" + r.addrs["operator"] + "/-/recovery")
 		if err != nil {
@@ -74,39 +74,39 @@
 		return string(text)
 	}
 	next := start(t, s.configPath, 2)
-	if text := said(next); !strings.Contains(text, `"from": "snapshot"`) {
+	if text := recoveryText(next); !strings.Contains(text, `"from": "snapshot"`) {
 		t.Errorf("came back %s", text)
 	}
 	next.openFlow(50, "").wantLine("UP ")
 	next.cmd.Process.Kill()
 	<-next.done
-	text, err := os.ReadFile(at)
+	text, err := os.ReadFile(snapshotPath)
 	if err != nil {
 		t.Fatal(err)
 	}
 	s.d.SetDown(false)
-	for what, do := range map[string]func(){
-		"torn": func() { writeFile(t, at, string(text[:len(text)/2])) },
+	for name, prepare := range map[string]func(){
+		"torn": func() { writeFile(t, snapshotPath, string(text[:len(text)/2])) },
 		"of another relay": func() {
-			writeFile(t, at, string(text))
+			writeFile(t, snapshotPath, string(text))
 			config, _ := os.ReadFile(s.configPath)
 			writeFile(t, s.configPath, strings.Replace(string(config), `"name":"n0"`, `"name":"n9"`, 1))
 		},
 		"not a directory": func() {
-			os.RemoveAll(filepath.Dir(at))
-			writeFile(t, filepath.Dir(at), "")
+			os.RemoveAll(filepath.Dir(snapshotPath))
+			writeFile(t, filepath.Dir(snapshotPath), "")
 		},
 	} {
-		do()
+		prepare()
 		r := start(t, s.configPath, 2)
-		if text := said(r); !strings.Contains(text, `"from": "nothing"`) || !strings.Contains(text, `"why"`) {
-			t.Errorf("%s: came back %s", what, text)
+		if text := recoveryText(r); !strings.Contains(text, `"from": "nothing"`) || !strings.Contains(text, `"why"`) {
+			t.Errorf("%s: came back %s", name, text)
 		}
 		waitFor(t, "the list", func() bool { return r.call("GET", "/-/ready") == 200 })
 		r.openFlow(60, "").wantLine("UP ")
 		r.cmd.Process.Kill()
 		<-r.done
-		os.RemoveAll(filepath.Dir(at))
-		os.MkdirAll(filepath.Dir(at), 0o700)
+		os.RemoveAll(filepath.Dir(snapshotPath))
+		os.MkdirAll(filepath.Dir(snapshotPath), 0o700)
 	}
 }
--- a/integration/syscalls_test.go
+++ b/integration/syscalls_test.go
@@ -10,8 +10,8 @@
 	"dahliarudder/internal/fakes"
 )
 
-// troubles is the ways in which the relay's system calls fail for a while, all that Linux documents of them.
-var troubles = map[string][]failing{
+// faultPlans is the ways in which the relay's system calls fail for a while, all that Linux documents of them.
+var faultPlans = map[string][]callFault{
 	"none":         nil,
 	"accept":       {{Call: "Accept", Errno: "ENFILE", Part: 0.5}, {Call: "Accept", Errno: "ECONNABORTED", Part: 0.3}, {Call: "Accept", Errno: "EINTR", Part: 0.3}},
 	"accept never": {{Call: "Accept", Errno: "EMFILE"}},
@@ -28,57 +28,57 @@
 // time, open flows stay, no member is blamed, and the first request after it is served by its first attempt.
 func TestSystemCalls(t *testing.T) {
 	t.Parallel()
-	for what, plan := range troubles {
-		t.Run(what, func(t *testing.T) {
+	for name, plan := range faultPlans {
+		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			const members, before, amid, after = 3, 6, 12, 6
-			tries := fakes.NewAttemptCounter()
+			const members, flowsBefore, requestsDuring, requestsAfter = 3, 6, 12, 6
+			counter := fakes.NewAttemptCounter()
 			var list []member
-			var all []*backend
+			var all []*fakeMember
 			for i := range members {
-				b := newBackend(t, fmt.Sprintf("s-%08x", 0x5be2a000+i*0x01234567), tries)
-				all, list = append(all, b), append(list, b.member())
+				b := newFakeMember(t, fmt.Sprintf("s-%08x", 0x5be2a000+i*0x01234567), counter)
+				all, list = append(all, b), append(list, b.entry())
 			}
 			d := newDiscovery(t, list...)
 			r := newFaultyRelay(t, configure(t, d, nil), 1, 0)
 			waitFor(t, "the first watch", func() bool { return d.Calls() > 1 })
-			held := r.descriptors()
-			flows := r.openFlows(before)
+			descriptorsBefore := r.descriptors()
+			flows := r.openFlows(flowsBefore)
 			r.setFaults(0, plan...)
-			asked := time.Now()
-			var amidst []*client
-			for n := range amid {
-				amidst = append(amidst, r.openFlow(100+n, ""))
+			sentAt := time.Now()
+			var during []*client
+			for n := range requestsDuring {
+				during = append(during, r.openFlow(100+n, ""))
 			}
-			if what == "accept never" || what == "no way" { // nothing of it goes by itself
+			if name == "accept never" || name == "no way" { // nothing of it goes by itself
 				time.Sleep(drainGrace)
 			} else {
-				for _, c := range amidst[:amid/2] {
-					c.wantAnswerInTime(asked)
+				for _, c := range during[:requestsDuring/2] {
+					c.wantAnswerInTime(sentAt)
 				}
 			}
 			r.setFaults(0)
-			for _, c := range amidst {
-				c.wantAnswerInTime(asked)
+			for _, c := range during {
+				c.wantAnswerInTime(sentAt)
 			}
-			for _, c := range amidst {
+			for _, c := range during {
 				c.Close()
 			}
 			waitFor(t, "room at the members", func() bool {
-				held := 0
+				openFlows := 0
 				for _, b := range all {
-					held += b.OpenFlows()
+					openFlows += b.OpenFlows()
 				}
-				return held == before
+				return openFlows == flowsBefore
 			})
 			sent := firstLineCount(all)
-			for n := range after {
+			for n := range requestsAfter {
 				c := r.openFlow(200+n, "")
 				c.wantLine("UP ")
 				flows = append(flows, c)
 			}
-			if more := firstLineCount(all) - sent; more != after {
-				t.Errorf("%d attempts for %d requests after the trouble", more, after)
+			if attempts := firstLineCount(all) - sent; attempts != requestsAfter {
+				t.Errorf("%d attempts for %d requests after the trouble", attempts, requestsAfter)
 			}
 			for _, b := range all {
 				if len(b.firstLines()) == 0 {
@@ -91,22 +91,22 @@
 				c.wantLine("GOT 1 still here")
 				c.Close()
 			}
-			r.waitDescriptorsReleased(held)
-			for _, broken := range tries.Violations() {
-				t.Error(broken)
+			r.waitDescriptorsReleased(descriptorsBefore)
+			for _, violation := range counter.Violations() {
+				t.Error(violation)
 			}
 		})
 	}
 }
 
 // wantAnswerInTime wants one final answer, in time; of a request that was answered already it wants nothing more.
-func (c *client) wantAnswerInTime(asked time.Time) {
+func (c *client) wantAnswerInTime(sentAt time.Time) {
 	c.t.Helper()
 	if c.finalAnswer != "" {
 		return
 	}
 	c.finalAnswer = c.line()
-	took := time.Since(asked)
+	took := time.Since(sentAt)
 	switch word, _, _ := strings.Cut(c.finalAnswer, " "); word {
 	case "UP":
 	case "BUSY", "ERR":
@@ -114,13 +114,13 @@
 	default:
 		c.t.Errorf("answered %q", c.finalAnswer)
 	}
-	if most := 2900*time.Millisecond + lostAnswerDelay; took > most {
+	if limit := 2900*time.Millisecond + lostAnswerDelay; took > limit {
 		c.t.Errorf("%q after %v", c.finalAnswer, took)
 	}
 }
 
 // firstLineCount is how many first lines have come to all of them.
-func firstLineCount(all []*backend) (n int) {
+func firstLineCount(all []*fakeMember) (n int) {
 	for _, b := range all {
 		n += len(b.firstLines())
 	}
--- a/integration/upgrade_test.go
+++ b/integration/upgrade_test.go
@@ -27,7 +27,7 @@
 		if err != nil {
 			r.t.Errorf("ended with %v", err)
 		}
-	case <-time.After(patience):
+	case <-time.After(eventTimeout):
 		r.t.Fatal("the relay does not end")
 	}
 }
@@ -36,7 +36,7 @@
 // half a line, are served, open flows stay, through two upgrades, an id that is open at the first is refused at the second, and
 // only the first exits.
 func TestUpgrade(t *testing.T) {
-	s := newOperatedRig(t, 3, nil)
+	s := newOperatorRig(t, 3, nil)
 	held := s.openFlows(6)
 	quiet, half, front := s.dial(), s.dial(), s.dial()
 	fmt.Fprint(half, "OPEN 00000000000000aa 00000000000000bb c=pay-sta")
@@ -78,7 +78,7 @@
 	held[0].send("END")
 	held[0].wantLine("BYE")
 	held[0].wantLine(io.EOF.Error())
-	checkAttemptCounter(t, s.tries)
+	checkAttemptCounter(t, s.attemptCounter)
 	third.cmd.Process.Signal(syscall.SIGTERM)
 	wantMoved(all[1:]...)
 	third.waitExit()
@@ -87,13 +87,13 @@
 // TestUpgradeEjections: an ejection lasts through an upgrade, and while there are two processes a call to either counts for
 // both.
 func TestUpgradeEjections(t *testing.T) {
-	s := newOperatedRig(t, 3, nil)
-	first, second := s.backends[0], s.backends[1]
+	s := newOperatorRig(t, 3, nil)
+	first, second := s.members[0], s.members[1]
 	s.mustPut("/-/backends/" + first.id + "/disable")
 	next := s.startSuccessor(2)
 	next.mustPut("/-/backends/" + second.id + "/disable")
 	n := 100
-	quiet := func(b *backend) {
+	quiet := func(b *fakeMember) {
 		t.Helper()
 		for range 15 {
 			n++
@@ -121,12 +121,12 @@
 // TestUpgradeFails: a second process that cannot be used, or ends before the first one is told to stop, leaves everything to
 // the first. Guards against a relay that is stuck with its listeners open.
 func TestUpgradeFails(t *testing.T) {
-	s := newOperatedRig(t, 2, nil)
+	s := newOperatorRig(t, 2, nil)
 	c := s.openFlow(1, "")
 	c.wantLine("UP ")
 	bad := filepath.Join(filepath.Dir(s.configPath), "bad.json")
 	writeFile(t, bad, `{"name":"n0"}`)
-	if out, err := run("serve", "--config", bad); err == nil {
+	if out, err := runCommand("serve", "--config", bad); err == nil {
 		t.Errorf("it serves: %s", out)
 	}
 	for n, end := range []syscall.Signal{syscall.SIGKILL, syscall.SIGTERM} {
@@ -147,7 +147,7 @@
 
 // TestUpgradeDrain: a drain and its end reach both processes.
 func TestUpgradeDrain(t *testing.T) {
-	s := newOperatedRig(t, 2, nil)
+	s := newOperatorRig(t, 2, nil)
 	next := s.startSuccessor(2)
 	front := next.dial()
 	s.mustPut("/-/drain")
@@ -159,10 +159,10 @@
 }
 
 // TestUpgradeBudget: two processes together have no more descriptors than one may, and without a free one clients are rejected
-// at once. Guards against clients that wait in an accept queue from which nobody may take them.
+// generation once. Guards against clients that wait in an accept queue from which nobody may take them.
 func TestUpgradeBudget(t *testing.T) {
 	const sockets = 160
-	s := newOperatedRig(t, 2, map[string]any{"limits": map[string]any{"cores": 1, "memory_mb": 32, "sockets": sockets}})
+	s := newOperatorRig(t, 2, map[string]any{"limits": map[string]any{"cores": 1, "memory_mb": 32, "sockets": sockets}})
 	for n := range 20 {
 		s.openFlow(n, "").wantLine("UP ")
 	}
@@ -196,7 +196,7 @@
 // TestUpgradeStore: two processes write to one SQLite file, and neither rejects for
 // it.
 func TestUpgradeStore(t *testing.T) {
-	s := newOperatedRig(t, 2, map[string]any{"store": map[string]any{"driver": "sqlite",
+	s := newOperatorRig(t, 2, map[string]any{"store": map[string]any{"driver": "sqlite",
 		"dsn": filepath.Join(t.TempDir(), "record.db")}})
 	next := s.startSuccessor(2)
 	for n := range 10 {
--- a/integration/wall_clock_test.go
+++ b/integration/wall_clock_test.go
@@ -18,12 +18,12 @@
 // is the test program of cmd/dahliarudder, which runs as the relay; the built program has no switch for that.
 type faultyRelay struct {
 	*relay
-	file   string
-	number int
+	planPath   string
+	planNumber int
 }
 
-// failing is what befalls some of the relay's system calls.
-type failing struct {
+// callFault is what befalls some of the relay's system calls.
+type callFault struct {
 	Call  string  `json:"call"`
 	Errno string  `json:"errno"`
 	Short bool    `json:"short"`
@@ -48,22 +48,22 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &faultyRelay{file: filepath.Join(t.TempDir(), "fault-plan")}
+	r := &faultyRelay{planPath: filepath.Join(t.TempDir(), "fault-plan")}
 	r.writeFaults(t, step)
-	r.relay = launchProgram(t, path, config, "RELAY_FAULT_PLAN="+r.file)
+	r.relay = launchProgram(t, path, config, "RELAY_FAULT_PLAN="+r.planPath)
 	r.waitServing(fronts)
 	return r
 }
 
-func (r *faultyRelay) writeFaults(t testing.TB, step time.Duration, plan ...failing) {
+func (r *faultyRelay) writeFaults(t testing.TB, step time.Duration, plan ...callFault) {
 	t.Helper()
-	r.number++
-	text, err := json.Marshal(map[string]any{"number": r.number, "step_ms": step.Milliseconds(), "failing": plan})
+	r.planNumber++
+	text, err := json.Marshal(map[string]any{"number": r.planNumber, "step_ms": step.Milliseconds(), "failing": plan})
 	if err == nil {
-		err = os.WriteFile(r.file+".new", text, 0o600)
+		err = os.WriteFile(r.planPath+".new", text, 0o600)
 	}
 	if err == nil {
-		err = os.Rename(r.file+".new", r.file)
+		err = os.Rename(r.planPath+".new", r.planPath)
 	}
 	if err != nil {
 		t.Fatal(err)
@@ -71,20 +71,20 @@
 }
 
 // setFaults has the relay's clock be wrong by step, and its calls fail by the plan, from its return on.
-func (r *faultyRelay) setFaults(step time.Duration, plan ...failing) {
+func (r *faultyRelay) setFaults(step time.Duration, plan ...callFault) {
 	r.t.Helper()
 	r.writeFaults(r.t, step, plan...)
-	r.waitLogged(fmt.Sprintf("fault plan %d in effect", r.number))
+	r.waitLogged(fmt.Sprintf("fault plan %d in effect", r.planNumber))
 }
 
-// TestStateWallStepped: a relay that returns after a step of its wall clock treats its state as being as old as it really is.
-func TestStateWallStepped(t *testing.T) {
+// TestStateAgeClockStepped: a relay that returns after a step of its wall clock treats its state as being as old as it really is.
+func TestStateAgeClockStepped(t *testing.T) {
 	t.Parallel()
 	for _, step := range []time.Duration{time.Hour, -time.Hour, 2 * time.Second, -2 * time.Second} {
 		t.Run(step.String(), func(t *testing.T) {
 			t.Parallel()
-			b := newBackend(t, "s-00000001", nil)
-			d := newDiscovery(t, b.member())
+			b := newFakeMember(t, "s-00000001", nil)
+			d := newDiscovery(t, b.entry())
 			dir := filepath.Join(t.TempDir(), "state")
 			config := configure(t, d, map[string]any{"operator": "127.0.0.1:0", "state": map[string]any{"dir": dir, "every_ms": 1000}})
 			first := newFaultyRelay(t, config, 2, 0)
@@ -97,24 +97,24 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			least := time.Since(written.ModTime()) - socketTolerance
+			minAge := time.Since(written.ModTime()) - socketTolerance
 			next := newFaultyRelay(t, config, 2, step)
-			most := time.Since(written.ModTime()) + time.Second // which it may have taken from its making to the disk
+			maxAge := time.Since(written.ModTime()) + time.Second // which it may have taken from its making to the disk
 			answer, err := http.Get("http://" + next.addrs["operator"] + "/-/recovery")
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer answer.Body.Close()
-			var said struct {
+			var recovery struct {
 				From string `json:"from"`
 				Age  int64  `json:"age_ms"`
 			}
 			text, _ := io.ReadAll(answer.Body)
-			if err := json.Unmarshal(text, &said); err != nil {
+			if err := json.Unmarshal(text, &recovery); err != nil {
 				t.Fatal(err)
 			}
-			if age := time.Duration(said.Age) * time.Millisecond; said.From != "snapshot" || age < least || age > most {
-				t.Errorf("came back with %s; the state was %v to %v old", text, least, most)
+			if age := time.Duration(recovery.Age) * time.Millisecond; recovery.From != "snapshot" || age < minAge || age > maxAge {
+				t.Errorf("came back with %s; the state was %v to %v old", text, minAge, maxAge)
 			}
 		})
 	}
