--- a/integration/crossing_rig_test.go
+++ b/integration/crossing_rig_test.go
@@ -17,22 +17,24 @@
 	"dahliarudder/internal/fakes"
 )
 
-// The tests named Crossing force two events at the built program into one order. Their members answer only what the test tells them to.
-// Results are taken from clients, members, discovery and /proc.
+// The tests named TestCrossing make two events happen in a fixed order at the built program, e.g. a
+// member's answer just after SIGTERM. Their fake members answer only when the test tells them to.
+// The tests read the results from clients, members, discovery and /proc.
 
-// Figures of the protocol.
+// Limits that follow from the protocol and from the settings used here.
 const (
-	maxCountedDeadline  = 3 * time.Second        // the longest deadline of these settings, and the most that counts
-	killMargin          = 700 * time.Millisecond // after the deadline the process is killed
-	lostAnswerDelay     = 500 * time.Millisecond // this late an answer counts as lost
-	drainGrace          = 250 * time.Millisecond // for which something may still go to a draining member
-	socketTolerance     = 50 * time.Millisecond  // extends every time limit
-	silentWatchDeadline = 6 * time.Second        // after the start of a silent watch what it misses counts as delivered
-	reloadDeadline      = 4 * time.Second        // after SIGHUP the new discovery's changes count as delivered
-	maxArrivals         = 256                    // attempts that wait for the test
+	maxCountedDeadline  = 3 * time.Second        // longest deadline in the settings; longer ones count as this
+	killMargin          = 700 * time.Millisecond // SIGKILL comes this long after the longest deadline
+	lostAnswerDelay     = 500 * time.Millisecond // an answer this long after its deadline counts as lost
+	drainGrace          = 250 * time.Millisecond // a draining member may still get new requests this long
+	socketTolerance     = 50 * time.Millisecond  // added to every time limit
+	silentWatchDeadline = 6 * time.Second        // changes missed by a silent watch count as delivered this long after its start
+	reloadDeadline      = 4 * time.Second        // changes at a new discovery address count as delivered this long after SIGHUP
+	maxArrivals         = 256                    // capacity of the channels of attempts and lines
 )
 
-// scriptedMember is a fake pool member that answers health checks by itself and first lines only as the test says.
+// scriptedMember is a fake pool member that answers health checks on its own, and attempts only as
+// the test says.
 type scriptedMember struct {
 	t           testing.TB
 	id          string
@@ -42,10 +44,10 @@
 
 	mu         sync.Mutex
 	firstLines []arrival
-	autoAccept bool // first lines are answered UP at once
+	autoAccept bool // answer every attempt with UP at once
 }
 
-// arrival is a first line that was received.
+// arrival is a first line that a member received.
 type arrival struct {
 	id string
 	at time.Time
@@ -57,8 +59,8 @@
 	member   *scriptedMember
 	id       string
 	lines    chan string   // lines after the first one
-	ended    chan struct{} // closed when the relay has ended the connection
-	countEnd func()
+	ended    chan struct{} // closed when the relay has closed the connection
+	countEnd func()        // tells the attempt counter that the attempt has ended
 }
 
 func newScriptedMember(t testing.TB, id string, counter *fakes.AttemptCounter) *scriptedMember {
@@ -91,7 +93,7 @@
 func (m *scriptedMember) attempt(c net.Conn, in *bufio.Reader, first string) {
 	words := strings.Fields(first)
 	if len(words) != 4 || words[0] != "OPEN" {
-		m.t.Errorf("%s got the first line %q", m.id, first)
+		m.t.Errorf("member %s got the first line %q, want OPEN with 4 fields", m.id, first)
 		return
 	}
 	a := &attempt{Conn: c, member: m, id: words[1], lines: make(chan string, maxArrivals), ended: make(chan struct{})}
@@ -116,14 +118,14 @@
 	close(a.ended)
 }
 
-// setAutoAccept makes the member accept every attempt by itself from now on, or ends that.
+// setAutoAccept switches on or off that the member accepts every attempt without the test.
 func (m *scriptedMember) setAutoAccept(on bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.autoAccept = on
 }
 
-// arrivals returns all first lines received.
+// arrivals returns all first lines received so far.
 func (m *scriptedMember) arrivals() []arrival {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -133,13 +135,13 @@
 func (a *attempt) write(text string) {
 	a.member.t.Helper()
 	if _, err := fmt.Fprint(a.Conn, text); err != nil {
-		a.member.t.Errorf("%s: %v", a.member.id, err)
+		a.member.t.Errorf("member %s: writing %q: %v", a.member.id, text, err)
 	}
 }
 
 func (a *attempt) accept() { a.write("UP " + a.member.id + "/" + a.id + "\r\n") }
 
-// reject ends the attempt with BUSY, which says that it has not run.
+// reject ends the attempt with BUSY, which tells the relay that the request was not executed.
 func (a *attempt) reject() {
 	a.countEnd()
 	a.write("BUSY\r\n")
@@ -152,29 +154,29 @@
 	a.Close()
 }
 
-// nextLine returns the client's next line.
+// nextLine returns the next line from the client.
 func (a *attempt) nextLine() string {
 	a.member.t.Helper()
 	select {
 	case line := <-a.lines:
 		return line
 	case <-time.After(eventTimeout):
-		a.member.t.Fatal("no line came")
+		a.member.t.Fatalf("member %s got no line within %v", a.member.id, eventTimeout)
 		return ""
 	}
 }
 
-// waitClosed waits until the relay has ended the connection.
+// waitClosed waits until the relay has closed the connection to the member.
 func (a *attempt) waitClosed() {
 	a.member.t.Helper()
 	select {
 	case <-a.ended:
 	case <-time.After(eventTimeout):
-		a.member.t.Fatal("the attempt's connection stays")
+		a.member.t.Fatalf("member %s: the relay did not close the connection within %v", a.member.id, eventTimeout)
 	}
 }
 
-// scriptedRig is a relay among scripted members.
+// scriptedRig is a relay with scripted members and a fake discovery.
 type scriptedRig struct {
 	*relay
 	d              *discovery
@@ -201,11 +203,11 @@
 		fronts++
 	}
 	s.relay = start(t, configure(t, s.d, extra), fronts)
-	waitFor(t, "the first watch", func() bool { return s.d.Calls() > 1 })
+	waitFor(t, "the first watch at discovery", func() bool { return s.d.Calls() > 1 })
 	return s
 }
 
-// nextAttempt waits for the next attempt at any member.
+// nextAttempt waits for the next attempt at any member and returns it.
 func (s *scriptedRig) nextAttempt() *attempt {
 	s.t.Helper()
 	var got *attempt
@@ -237,7 +239,7 @@
 // requestID returns the id of request number n.
 func requestID(n int) string { return fmt.Sprintf("%016x", n) }
 
-// openWithDeadline is openFlow with another deadline.
+// openWithDeadline is openFlow with a deadline of the caller's choice.
 func (s *scriptedRig) openWithDeadline(n int, deadline time.Duration) *client {
 	s.t.Helper()
 	c := s.dial()
@@ -255,14 +257,14 @@
 	c := s.openFlow(n, "")
 	a := s.nextAttempt()
 	if a.id != requestID(n) {
-		s.t.Fatalf("an attempt of request %s, want %s", a.id, requestID(n))
+		s.t.Fatalf("nextAttempt() has request id %s, want %s", a.id, requestID(n))
 	}
 	a.accept()
 	c.wantLine("UP ")
 	return c, a
 }
 
-// newFlows opens flows, from request 1 on, and returns the clients' ends.
+// newFlows opens count accepted flows, as requests 1 to count, and returns their clients.
 func (s *scriptedRig) newFlows(count int) (all []*client) {
 	s.t.Helper()
 	for n := range count {
@@ -272,7 +274,7 @@
 	return all
 }
 
-// entries are the members' entries in discovery's list.
+// entries returns the entries of the members in discovery's list.
 func (s *scriptedRig) entries() (all []member) {
 	for _, m := range s.members {
 		all = append(all, m.entry())
@@ -280,7 +282,8 @@
 	return all
 }
 
-// terminate sends SIGTERM, waits until the relay logs that it stops, and returns when it was sent.
+// terminate sends SIGTERM, waits until the relay logs that it is stopping, and returns the time of
+// the signal.
 func (s *scriptedRig) terminate() time.Time {
 	s.t.Helper()
 	at := time.Now()
@@ -289,14 +292,14 @@
 	return at
 }
 
-// wantTimelyExit waits for the end of the process, which has to be in time.
+// wantTimelyExit waits for the process to end and checks that it did so before SIGKILL would come.
 func (s *scriptedRig) wantTimelyExit(since time.Time) {
 	s.t.Helper()
 	s.waitExit()
 	took := time.Since(since)
-	s.t.Logf("gone %v after SIGTERM", took.Round(time.Millisecond))
+	s.t.Logf("the process ended %v after SIGTERM", took.Round(time.Millisecond))
 	if took > maxCountedDeadline+killMargin {
-		s.t.Errorf("the process ended %v after SIGTERM", took)
+		s.t.Errorf("the process ended %v after SIGTERM, want at most %v", took, maxCountedDeadline+killMargin)
 	}
 	s.checkAttempts()
 }
@@ -308,7 +311,7 @@
 	}
 }
 
-// descriptors counts a process's descriptors.
+// descriptors returns the number of open file descriptors of a process.
 func descriptors(t testing.TB, pid int) int {
 	t.Helper()
 	open, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
@@ -323,17 +326,19 @@
 	return descriptors(r.t, r.cmd.Process.Pid)
 }
 
-// waitDescriptorsReleased waits until the relay has no more descriptors than before. Connections for health checks take some seconds.
+// waitDescriptorsReleased waits until the relay has no more descriptors than before. This takes
+// some seconds, since connections of health checks close late.
 func (r *relay) waitDescriptorsReleased(before int) {
 	r.t.Helper()
 	for end := time.Now().Add(eventTimeout); r.descriptors() > before; time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			r.t.Fatalf("%d descriptors, %d before: %q", r.descriptors(), before, r.describeDescriptors())
+			r.t.Fatalf("the relay has %d descriptors, want at most %d; open: %q", r.descriptors(), before, r.describeDescriptors())
 		}
 	}
 }
 
-// describeDescriptors describes the relay's descriptors: TCP sockets by local address, remote address and state from /proc/net/tcp.
+// describeDescriptors returns the link target of each of the relay's descriptors; for a TCP socket
+// it returns the local address, remote address and state from /proc/net/tcp instead.
 func (r *relay) describeDescriptors() (all []string) {
 	text, _ := os.ReadFile("/proc/net/tcp")
 	tcp := map[string]string{}
@@ -354,10 +359,10 @@
 func (r *relay) suspend() {
 	r.t.Helper()
 	r.cmd.Process.Signal(syscall.SIGSTOP)
-	waitFor(r.t, "the process to stand still", func() bool {
+	waitFor(r.t, "all threads of the process to stop", func() bool {
 		tasks, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", r.cmd.Process.Pid))
 		if err != nil || len(tasks) == 0 {
-			r.t.Fatal("the process has gone")
+			r.t.Fatalf("no threads in /proc of the suspended relay (error: %v); it has ended", err)
 		}
 		for _, task := range tasks {
 			text, err := os.ReadFile(task)
@@ -373,20 +378,22 @@
 	})
 }
 
-// resume continues a suspended process.
+// resume lets a suspended process continue.
 func (r *relay) resume() { r.cmd.Process.Signal(syscall.SIGCONT) }
 
-// blockedListener is the listener of a member that is unreachable until unblocked: no connection is established or refused.
+// blockedListener is the listener of an unreachable member: until unblock is called, connections to
+// it are neither established nor refused.
 type blockedListener struct {
 	listener       net.Listener
 	serve          func(net.Conn)
 	backlogFillers []net.Conn
 }
 
-// fillTimeout is after how long a connection on the loopback counts as blocked.
+// fillTimeout is how long a dial on the loopback may take before the accept queue counts as full.
 const fillTimeout = 200 * time.Millisecond
 
-// newBlockedListener returns a blocked listener: its accept queue is full, so that the kernel drops handshakes.
+// newBlockedListener returns a listener with a full accept queue, so that the kernel drops
+// handshakes.
 func newBlockedListener(t testing.TB, serve func(net.Conn)) *blockedListener {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -403,7 +410,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	waitFor(t, "a full queue", func() bool {
+	waitFor(t, "the accept queue to be full", func() bool {
 		c, err := net.DialTimeout("tcp", b.addr(), fillTimeout)
 		if err == nil {
 			b.backlogFillers = append(b.backlogFillers, c)
@@ -415,7 +422,7 @@
 
 func (b *blockedListener) addr() string { return b.listener.Addr().String() }
 
-// unblock serves connections.
+// unblock empties the accept queue and serves connections from now on.
 func (b *blockedListener) unblock() {
 	for _, c := range b.backlogFillers {
 		c.Close()
@@ -431,10 +438,10 @@
 	}()
 }
 
-// States of a socket in /proc/net/tcp.
+// synSent is the state SYN_SENT of a socket in /proc/net/tcp.
 const synSent = "02"
 
-// sockets counts the sockets to an address in a state of /proc/net/tcp.
+// sockets counts the sockets with remote address to in the given state of /proc/net/tcp.
 func sockets(t testing.TB, to, state string) (count int) {
 	t.Helper()
 	_, port, err := net.SplitHostPort(to)
--- a/integration/crossing_watch_test.go
+++ b/integration/crossing_watch_test.go
@@ -15,24 +15,24 @@
 	"dahliarudder/internal/fakes"
 )
 
-// scriptedDiscovery answers calls as the test says, byte by byte.
+// scriptedDiscovery is a fake discovery service that answers watches as the test says.
 type scriptedDiscovery struct {
 	addr string
 
 	mu         sync.Mutex
-	generation int // the newest generation
+	generation int // of the newest list
 	list       []member
-	changed    map[string]int          // by member, when it changed last
-	watches    map[*scriptedWatch]bool // that are open now
-	nextCalls  []func(*scriptedWatch)  // what happens to the calls that come next, one each
+	changed    map[string]int          // by member id, the generation of its last change
+	watches    map[*scriptedWatch]bool // open watches
+	nextCalls  []func(*scriptedWatch)  // handlers of the next calls, one per call
 	calls      int                     // calls so far
 }
 
-// scriptedWatch is a call that waits for a change.
+// scriptedWatch is a call to discovery; while it is in watches it waits for a change.
 type scriptedWatch struct {
 	net.Conn
-	since int
-	done  chan struct{}
+	since int           // the generation that the caller has, or -1
+	done  chan struct{} // closed when the call is finished
 }
 
 func newScriptedDiscovery(t testing.TB, list []member) *scriptedDiscovery {
@@ -63,7 +63,7 @@
 	}
 }
 
-// handleCall serves one; false if the connection is of no more use.
+// handleCall serves one call. It returns false if the connection must be closed.
 func (d *scriptedDiscovery) handleCall(c net.Conn, target string) bool {
 	u, err := url.Parse(target)
 	if err != nil {
@@ -100,14 +100,15 @@
 	delete(d.watches, w)
 	text := d.listText(w.since, "")
 	d.mu.Unlock()
-	if !unanswered { // it is answered elsewhere, or never
+	if !unanswered { // drain has passed the watch to a handler, which may never answer it
 		<-w.done
 		return true
 	}
 	return respond(c, text)
 }
 
-// listText is the answer to a reader that has a generation.
+// listText returns the answer to a caller that has generation since: the members that have changed
+// after it, or all members if since is negative.
 func (d *scriptedDiscovery) listText(since int, indent string) string {
 	out := fakes.List{Generation: d.generation, Reset: since < 0, Instances: []member{}}
 	for _, m := range d.list {
@@ -131,14 +132,15 @@
 	return err == nil
 }
 
-// hasWatch reports whether a call waits.
+// hasWatch reports whether a watch is open.
 func (d *scriptedDiscovery) hasWatch() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(d.watches) > 0
 }
 
-// drain changes a member; to the watches that are open, and to the calls that come next, happens what is given.
+// drain lists a member as DRAINING and returns the time of the change. answerOpen is called for each
+// open watch; each of next handles one of the following calls.
 func (d *scriptedDiscovery) drain(id string, answerOpen func(w *scriptedWatch, d *scriptedDiscovery), next ...func(*scriptedWatch)) time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -158,7 +160,7 @@
 	return at
 }
 
-// What happens to a call.
+// Handlers of open watches.
 
 func answerFullList(w *scriptedWatch, d *scriptedDiscovery) {
 	fmt.Fprint(w, response(d.listText(-1, "")))
@@ -170,7 +172,7 @@
 	close(w.done)
 }
 
-// answerBytewise has every byte leave by itself.
+// answerBytewise writes the answer one byte at a time.
 func answerBytewise(w *scriptedWatch, d *scriptedDiscovery) {
 	w.Conn.(*net.TCPConn).SetNoDelay(true)
 	for _, b := range []byte(response(d.listText(w.since, ""))) {
@@ -185,7 +187,7 @@
 	close(w.done)
 }
 
-// newWatchRig is a relay whose members accept all attempts, with a scripted discovery.
+// newWatchRig returns a relay with a scripted discovery and members that accept all attempts.
 func newWatchRig(t *testing.T) (*scriptedRig, *scriptedDiscovery) {
 	t.Helper()
 	s := &scriptedRig{attemptCounter: fakes.NewAttemptCounter()}
@@ -196,11 +198,12 @@
 	}
 	d := newScriptedDiscovery(t, list)
 	s.relay = start(t, configure(t, &discovery{Discovery: fakes.NewDiscovery(list...), addr: d.addr}, nil), 1)
-	waitFor(t, "a watch", d.hasWatch)
+	waitFor(t, "an open watch at discovery", d.hasWatch)
 	return s, d
 }
 
-// lastSendTo makes requests, one after another, until the flow of the member that drains is moved, and returns when the last of them reached it.
+// lastSendTo sends requests, one after another, until the relay moves flow, whose member drains, and
+// then ten more. It returns when the last first line reached that member.
 func (s *scriptedRig) lastSendTo(drained *scriptedMember, flow *client) time.Time {
 	s.t.Helper()
 	flowLine := make(chan string, 1)
@@ -216,7 +219,7 @@
 		select {
 		case line := <-flowLine:
 			if line != "MOVE" {
-				s.t.Errorf("the flow on the member that drains got %q", line)
+				s.t.Errorf("the flow on the draining member got %q, want MOVE", line)
 			}
 			waiting = false
 		default:
@@ -234,7 +237,7 @@
 	return last
 }
 
-// openFlowOfMember opens flows until one is at a member that is to drain.
+// openFlowOfMember opens a flow and returns the client and the member that accepted it.
 func (s *scriptedRig) openFlowOfMember() (*client, *scriptedMember) {
 	s.t.Helper()
 	c := s.openFlow(1, "")
@@ -244,14 +247,14 @@
 			return c, m
 		}
 	}
-	s.t.Fatalf("no member made %q", up)
+	s.t.Fatalf("%q names none of the members", up)
 	return nil, nil
 }
 
-// watchCase is a member's drain during which the watch fails in some way.
+// watchCase is a case in which a member drains while the watch is answered in an unusual way or fails.
 type watchCase struct {
 	name       string
-	deadline   time.Duration // by the protocol, after the drain
+	deadline   time.Duration // the longest time between the drain and its delivery by the protocol
 	answerOpen func(*scriptedWatch, *scriptedDiscovery)
 	nextCalls  []func(*scriptedWatch)
 }
@@ -262,15 +265,15 @@
 	c, m := s.openFlowOfMember()
 	at := d.drain(m.id, test.answerOpen, test.nextCalls...)
 	last := s.lastSendTo(m, c).Sub(at)
-	t.Logf("the last send went %v after the drain", last.Round(time.Millisecond))
+	t.Logf("the last request reached the member %v after it was listed as draining", last.Round(time.Millisecond))
 	if limit := test.deadline + drainGrace + socketTolerance; last > limit {
-		t.Errorf("sent to a member %v after its drain; %v are allowed", last, limit)
+		t.Errorf("a request reached the member %v after it was listed as draining, want at most %v", last, limit)
 	}
 	s.checkAttempts()
 }
 
-// TestCrossingWatch: a member drains, and the update comes in one of the forms that the protocol allows, or the watch is reset
-// just then.
+// TestCrossingWatch guards against requests to a member that has begun to drain. The update comes in
+// one of the forms that the protocol allows, or the watch is reset at that moment.
 func TestCrossingWatch(t *testing.T) {
 	t.Parallel()
 	for _, test := range []watchCase{
@@ -283,7 +286,8 @@
 	}
 }
 
-// TestCrossingWatchMoved: SIGHUP moves discovery, and a member drains right after, at the new address alone.
+// TestCrossingWatchMoved: SIGHUP changes the discovery address, and a member starts to drain right
+// after it, in the list at the new address only.
 func TestCrossingWatchMoved(t *testing.T) {
 	t.Parallel()
 	s, old := newWatchRig(t)
@@ -294,9 +298,9 @@
 	s.reload(old.addr, next.addr)
 	next.drain(m.id, answerFullList)
 	last := s.lastSendTo(m, c).Sub(at)
-	t.Logf("the last send went %v after SIGHUP", last.Round(time.Millisecond))
+	t.Logf("the last request reached the member %v after SIGHUP", last.Round(time.Millisecond))
 	if limit := reloadDeadline + drainGrace + socketTolerance; last > limit {
-		t.Errorf("sent to a member %v after SIGHUP; %v are allowed", last, limit)
+		t.Errorf("a request reached the draining member %v after SIGHUP, want at most %v", last, limit)
 	}
 	s.checkAttempts()
 	s.waitDescriptorsReleased(before)
