--- a/integration/crossing_descriptors_test.go
+++ b/integration/crossing_descriptors_test.go
@@ -5,18 +5,18 @@
 	"testing"
 )
 
-// smallSocketLimit is a limit of descriptors that a test's clients can exhaust.
+// smallSocketLimit is a descriptor limit that the clients of one test can exhaust.
 const smallSocketLimit = 100
 
 func newSocketLimitRig(t *testing.T, members int) (*lineRig, int) {
 	t.Helper()
 	s := newLineRig(t, members, map[string]any{"limits": map[string]any{"cores": 1, "memory_mb": 32, "sockets": smallSocketLimit}})
-	waitFor(t, "the first watch", func() bool { return s.d.Calls() > 1 })
+	waitFor(t, "the first watch at discovery", func() bool { return s.d.Calls() > 1 })
 	return s, s.descriptors()
 }
 
-// restoreDiscoveryAndDrain brings discovery back and lets a member drain there. The clients of its flows are moved once the relay has
-// reached discovery.
+// restoreDiscoveryAndDrain makes discovery available again, lists a member there as draining and waits
+// until flow, which is at that member, is moved. This shows that the relay has reached discovery.
 func (s *lineRig) restoreDiscoveryAndDrain(flow *client, drained *fakeMember) {
 	s.t.Helper()
 	s.d.SetDown(false)
@@ -24,11 +24,11 @@
 	flow.wantLine("MOVE")
 }
 
-// waitServed waits until a request is served, and ends it.
+// waitServed sends requests, numbered after from, until one is accepted, and closes each.
 func (s *lineRig) waitServed(from int) {
 	s.t.Helper()
 	n := from
-	waitFor(s.t, "service", func() bool {
+	waitFor(s.t, "a request to be accepted", func() bool {
 		n++
 		c := s.openFlow(n, "")
 		defer c.Close()
@@ -36,8 +36,10 @@
 	})
 }
 
-// TestCrossingDescriptorsIdleClients: clients that send nothing, check readiness and stay, or send half a line, fill the descriptors while
-// discovery is down. Once it is back the relay reaches it and its members, while these clients stay.
+// TestCrossingDescriptorsIdleClients guards against a relay that cannot reach discovery or its members
+// because clients have taken all descriptors. While discovery is down, clients exhaust the limit: a
+// third of them sends nothing, a third sends PING and stays, a third sends half a line. When discovery
+// is back, the relay must reach it and the members although these clients stay.
 func TestCrossingDescriptorsIdleClients(t *testing.T) {
 	t.Parallel()
 	s, before := newSocketLimitRig(t, 2)
@@ -59,7 +61,7 @@
 	s.restoreDiscoveryAndDrain(flow, b)
 	s.waitServed(100)
 	if open := s.descriptors(); open > smallSocketLimit {
-		t.Errorf("%d descriptors of %d", open, smallSocketLimit)
+		t.Errorf("the relay has %d open descriptors, want at most %d", open, smallSocketLimit)
 	}
 	for _, c := range idle {
 		c.Close()
@@ -69,8 +71,10 @@
 	s.stop()
 }
 
-// TestCrossingDescriptorsOpenFlows: open flows fill the descriptors while discovery is down, and rejected clients stay as long as they may.
-// Once discovery is back the relay reaches it; service resumes when clients go.
+// TestCrossingDescriptorsOpenFlows guards against a relay that cannot reach discovery because open flows
+// have taken all descriptors. Flows exhaust the limit before discovery goes down, and further clients,
+// which do not read their rejection, stay connected as long as the relay lets them. When discovery is
+// back, the relay must reach it; requests are accepted again once the clients leave.
 func TestCrossingDescriptorsOpenFlows(t *testing.T) {
 	t.Parallel()
 	s, before := newSocketLimitRig(t, 2)
@@ -86,16 +90,16 @@
 		}
 	}
 	if rejected == 0 || rejected == smallSocketLimit {
-		t.Fatalf("%d of %d were turned away", rejected, smallSocketLimit)
+		t.Fatalf("%d of %d requests were rejected, want some but not all", rejected, smallSocketLimit)
 	}
 	s.d.SetDown(true)
 	s.waitLogged("discovery call failed")
 	for n := range smallSocketLimit {
-		all = append(all, s.openFlow(1000+n, "")) // not read
+		all = append(all, s.openFlow(1000+n, "")) // the answer is not read
 	}
 	s.restoreDiscoveryAndDrain(flow, b)
 	if open := s.descriptors(); open > smallSocketLimit {
-		t.Errorf("%d descriptors of %d", open, smallSocketLimit)
+		t.Errorf("the relay has %d open descriptors, want at most %d", open, smallSocketLimit)
 	}
 	for _, c := range all {
 		c.Close()
--- a/integration/crossing_queue_test.go
+++ b/integration/crossing_queue_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// TestCrossingStopAcceptQueue: connections with a complete request wait in the accept queue, more than one loop round accepts, when
-// the listener is about to close: the process is suspended from SIGTERM until then. Each is answered.
+// TestCrossingStopAcceptQueue guards against requests that stay unanswered in the accept queue when the
+// listener closes. The process is suspended after SIGTERM until the listener is due to close, while more
+// clients connect and send a request than one round of the event loop accepts. Each must get BUSY.
 func TestCrossingStopAcceptQueue(t *testing.T) {
 	t.Parallel()
 	const queued = 40 // acceptBurst of netloop is 16
@@ -18,7 +19,7 @@
 	for n := range queued {
 		all = append(all, s.openWithDeadline(100+n, 9*time.Second))
 	}
-	time.Sleep(time.Until(since.Add(maxCountedDeadline + socketTolerance))) // its clock goes on; that is the event
+	time.Sleep(time.Until(since.Add(maxCountedDeadline + socketTolerance))) // the listener's close is now overdue
 	s.resume()
 	answers := map[string]int{}
 	for _, c := range all {
@@ -28,6 +29,6 @@
 	s.waitExit()
 	s.checkAttempts()
 	if answers["BUSY"] != queued {
-		t.Errorf("answers %v", answers)
+		t.Errorf("answers %v, want %d BUSY", answers, queued)
 	}
 }
--- a/integration/crossing_signals_test.go
+++ b/integration/crossing_signals_test.go
@@ -8,14 +8,15 @@
 	"time"
 )
 
-// blockingFile is a configuration on a disk that does not answer: a reader waits until the test continues.
+// blockingFile is a configuration file that is a FIFO, like one on a disk that does not answer: a
+// reader blocks until the test writes.
 type blockingFile struct {
 	t    testing.TB
 	path string
 	text string
 }
 
-// newBlockingFile puts one in the place of a file.
+// newBlockingFile replaces the file at path by a blocking file with the same text.
 func newBlockingFile(t testing.TB, path string) *blockingFile {
 	t.Helper()
 	text, err := os.ReadFile(path)
@@ -31,11 +32,12 @@
 	return &blockingFile{t, path, string(text)}
 }
 
-// waitReader waits until a process reads the file. That process waits for what the test writes to the returned file.
+// waitReader waits until a process has opened the file for reading. The process blocks until the test
+// writes to the returned file or closes it.
 func (s *blockingFile) waitReader() *os.File {
 	s.t.Helper()
 	var f *os.File
-	waitFor(s.t, "a read of the configuration", func() bool {
+	waitFor(s.t, "a process to read the configuration", func() bool {
 		fd, err := syscall.Open(s.path, syscall.O_WRONLY|syscall.O_NONBLOCK|syscall.O_CLOEXEC, 0)
 		if err == nil {
 			f = os.NewFile(uintptr(fd), s.path)
@@ -46,8 +48,8 @@
 	return f
 }
 
-// TestSignals: signals in series, and at any time of a process's life. SIGTERM is heeded at once, whatever a reload
-// waits for and however many SIGHUP came before; SIGHUP never ends the process.
+// TestSignals sends series of signals at different times in the life of a process. SIGTERM must take
+// effect at once, even if a reload hangs and many SIGHUPs came before it; SIGHUP must never end the process.
 func TestSignals(t *testing.T) {
 	t.Parallel()
 	t.Run("SIGTERM while a reload hangs", func(t *testing.T) {
@@ -57,7 +59,7 @@
 		file := newBlockingFile(t, s.configPath)
 		s.cmd.Process.Signal(syscall.SIGHUP)
 		file.waitReader()
-		for range 40 { // more than any queue of signals holds
+		for range 40 { // more than the program's signal queue can hold
 			s.cmd.Process.Signal(syscall.SIGHUP)
 			time.Sleep(time.Millisecond)
 		}
@@ -66,7 +68,7 @@
 		wantMoved(c)
 		s.wantTimelyExit(since)
 	})
-	t.Run("HUP, TERM, TERM, HUP while it ends", func(t *testing.T) {
+	t.Run("SIGHUP, SIGTERM, SIGTERM, SIGHUP during shutdown", func(t *testing.T) {
 		t.Parallel()
 		s := newScriptedRig(t, 2, nil)
 		c, _ := s.newFlow(1)
@@ -109,7 +111,8 @@
 	})
 }
 
-// TestStartAddressInUse: a relay whose address is still another's for a moment waits for it and serves.
+// TestStartAddressInUse: a relay whose listen address is in use by another process waits until it is
+// free, and then serves.
 func TestStartAddressInUse(t *testing.T) {
 	t.Parallel()
 	b := newFakeMember(t, "s-00000001", nil)
@@ -120,13 +123,13 @@
 	}
 	defer holder.Close()
 	r := launch(t, configure(t, newDiscovery(t, b.entry()), map[string]any{"listen": addr}))
-	waitFor(t, "the relay to find its address held", func() bool {
+	waitFor(t, "the relay to log that its address is in use", func() bool {
 		select {
 		case err := <-r.done:
-			t.Fatalf("the relay has ended: %v", err)
+			t.Fatalf("the relay has ended with %v while its address was in use", err)
 		default:
 		}
-		c, err := net.Dial("tcp", addr) // whoever takes it, the relay does not
+		c, err := net.Dial("tcp", addr) // reaches the test's listener, not the relay
 		if err == nil {
 			c.Close()
 		}
--- a/integration/crossing_silent_test.go
+++ b/integration/crossing_silent_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// answerNothing leaves it silent for ever.
+// answerNothing leaves the watch open without an answer.
 func answerNothing(*scriptedWatch, *scriptedDiscovery) {}
 
 func answerUnavailable(w *scriptedWatch, _ *scriptedDiscovery) {
@@ -14,11 +14,12 @@
 	close(w.done)
 }
 
-// blockForever keeps a call for ever.
+// blockForever never answers the call and keeps its connection open.
 func blockForever(*scriptedWatch) { select {} }
 
-// TestCrossingWatchSilent: a member drains just as the watch falls silent, or ends and the next call is silent. Nothing new goes to it later than the
-// protocol allows after the silence began.
+// TestCrossingWatchSilent guards against requests to a member that drains unnoticed: it starts to drain
+// just when the watch becomes silent, or when the watch ends and the next call gets no answer. New
+// requests must stop within the time that the protocol allows after the start of the silence.
 func TestCrossingWatchSilent(t *testing.T) {
 	t.Parallel()
 	for _, test := range []watchCase{
@@ -30,7 +31,8 @@
 	}
 }
 
-// TestCrossingWatchMovedSilent: SIGHUP moves discovery, where a member drains, and the first call there is silent.
+// TestCrossingWatchMovedSilent: SIGHUP changes the discovery address; at the new address a member is
+// draining, but the first call there gets no answer.
 func TestCrossingWatchMovedSilent(t *testing.T) {
 	t.Parallel()
 	s, old := newWatchRig(t)
@@ -40,9 +42,9 @@
 	at := time.Now()
 	s.reload(old.addr, next.addr)
 	last := s.lastSendTo(m, c).Sub(at)
-	t.Logf("the last send went %v after SIGHUP", last.Round(time.Millisecond))
+	t.Logf("the last request reached the member %v after SIGHUP", last.Round(time.Millisecond))
 	if limit := silentWatchDeadline + drainGrace + socketTolerance; last > limit {
-		t.Errorf("sent to a member %v after SIGHUP; %v are allowed", last, limit)
+		t.Errorf("a request reached the draining member %v after SIGHUP, want at most %v", last, limit)
 	}
 	s.checkAttempts()
 }
--- a/integration/crossing_waiting_test.go
+++ b/integration/crossing_waiting_test.go
@@ -5,12 +5,13 @@
 	"time"
 )
 
-// longSuspension is longer than the time for which a relay may be suspended without asking discovery again: a second by these
-// settings, besides what it may have waited anyway.
+// longSuspension is longer than a relay may be suspended and still trust its endpoint list. With these
+// settings that is one second; the rest is for what the relay may have waited before the suspension.
 const longSuspension = 1500 * time.Millisecond
 
-// TestCrossingClientLeavesWaiting: the client leaves while its request waits in the relay, before its first attempt: the relay was
-// suspended and sends nothing before its endpoint list is current. No attempt starts after that.
+// TestCrossingClientLeavesWaiting: a client leaves while its request waits in the relay before the first
+// attempt. It waits because the relay was suspended: the relay then dispatches nothing until discovery
+// has answered or the grace has passed. No attempt must start for it.
 func TestCrossingClientLeavesWaiting(t *testing.T) {
 	t.Parallel()
 	for name, leave := range clientEnds {
@@ -21,9 +22,9 @@
 			c := s.dial()
 			c.send("PING")
 			c.wantLine("PONG")
-			s.d.SetAnswerDelay(eventTimeout) // the relay is to be sure only after the grace
+			s.d.SetAnswerDelay(eventTimeout) // without an answer, dispatch resumes only after the grace
 			s.suspend()
-			time.Sleep(longSuspension) // its clock goes on; that is the event
+			time.Sleep(longSuspension) // the process's clock goes on while it is suspended
 			c.send(firstLine(1, 2900*time.Millisecond))
 			s.resume()
 			s.waitLogged("this process was suspended")
@@ -33,7 +34,7 @@
 			s.waitDescriptorsReleased(before)
 			s.wantTimelyExit(s.terminate())
 			if n := s.attemptCount(1); n != 0 {
-				t.Errorf("%d attempts for a client that has gone", n)
+				t.Errorf("%d attempts for a client that has left, want 0", n)
 			}
 		})
 	}
