--- a/integration/crossing_stop_test.go
+++ b/integration/crossing_stop_test.go
@@ -12,8 +12,8 @@
 	"dahliarudder/internal/fakes"
 )
 
-// TestCrossingStopAnswered: an attempt is in flight at its member when SIGTERM comes, and is answered after that. The client
-// gets UP, then MOVE, before the process ends.
+// TestCrossingStopAnswered: SIGTERM comes while an attempt waits for its member, which then accepts it.
+// The client must get UP and then MOVE before the process ends.
 func TestCrossingStopAnswered(t *testing.T) {
 	t.Parallel()
 	s := newScriptedRig(t, 2, nil)
@@ -25,12 +25,12 @@
 	wantMoved(c)
 	s.wantTimelyExit(since)
 	if n := s.attemptCount(1); n != 1 {
-		t.Errorf("%d attempts", n)
+		t.Errorf("%d attempts, want 1", n)
 	}
 }
 
-// TestCrossingStopInFlight: a request that a member leaves unanswered until its deadline gets its one answer in time, and no
-// attempt starts after that.
+// TestCrossingStopInFlight: SIGTERM comes while an attempt waits for a member that never answers. The
+// request must get its one final answer by its deadline, and no attempt must start after that.
 func TestCrossingStopInFlight(t *testing.T) {
 	t.Parallel()
 	for _, deadline := range []time.Duration{time.Second, 2900 * time.Millisecond} {
@@ -43,26 +43,27 @@
 			since := s.terminate()
 			answer := c.line()
 			took := time.Since(sent)
-			t.Logf("%q after %v of %v", answer, took.Round(time.Millisecond), deadline)
+			t.Logf("answered %q after %v, deadline %v", answer, took.Round(time.Millisecond), deadline)
 			if !strings.HasPrefix(answer, "BUSY") && answer != "ERR" {
-				t.Errorf("answered %q", answer)
+				t.Errorf("answered %q, want BUSY or ERR", answer)
 			}
 			if took > deadline+lostAnswerDelay {
-				t.Errorf("answered after %v of %v", took, deadline)
+				t.Errorf("answered after %v, want at most %v", took, deadline+lostAnswerDelay)
 			}
 			c.wantLine(io.EOF.Error())
 			before := s.attemptCount(1)
 			a.waitClosed()
 			s.wantTimelyExit(since)
 			if n := s.attemptCount(1); n != before {
-				t.Errorf("%d attempts after the answer", n-before)
+				t.Errorf("%d attempts started after the final answer, want 0", n-before)
 			}
 		})
 	}
 }
 
-// TestCrossingStopNewRequests: a request after SIGTERM, on a new connection, on an idle one, on one with half a line and on one
-// that was answered PONG, is answered BUSY and never forwarded.
+// TestCrossingStopNewRequests: requests arrive after SIGTERM on a new connection, on an idle one, on one
+// with half a first line and on one that has been answered PONG. Each must be answered BUSY and none
+// must be forwarded.
 func TestCrossingStopNewRequests(t *testing.T) {
 	t.Parallel()
 	s := newScriptedRig(t, 2, nil)
@@ -70,7 +71,7 @@
 	line := firstLine(2, 2*time.Second) + "\r\n"
 	fmt.Fprint(half, line[:30])
 	front.send("PING")
-	front.wantLine("PONG") // the others were accepted before
+	front.wantLine("PONG") // the earlier connections have been accepted by now
 	since := s.terminate()
 	newClient := s.openWithDeadline(1, 2*time.Second)
 	fmt.Fprint(half, line[30:])
@@ -83,12 +84,13 @@
 	s.wantTimelyExit(since)
 	for n := 1; n <= 4; n++ {
 		if s.attemptCount(n) > 0 {
-			t.Errorf("request %d was sent on", n)
+			t.Errorf("request %d was forwarded to a member after SIGTERM", n)
 		}
 	}
 }
 
-// TestCrossingStopHalfLine: half of a member's line has reached the client when SIGTERM comes. The rest follows, then MOVE.
+// TestCrossingStopHalfLine: SIGTERM comes when the client has received half of a line from the member.
+// The client must get the rest of the line before MOVE.
 func TestCrossingStopHalfLine(t *testing.T) {
 	t.Parallel()
 	s := newScriptedRig(t, 2, nil)
@@ -101,14 +103,15 @@
 	since := s.terminate()
 	a.write("lf\r\n")
 	if line := c.line(); line != "lf" {
-		t.Errorf("the rest came as %q", line)
+		t.Errorf("rest of the line = %q, want %q", line, "lf")
 	}
 	wantMoved(c)
 	s.wantTimelyExit(since)
 }
 
-// TestCrossingStopIdleClient: a client that was answered PONG stays until the relay closes the connection, and sends a request just
-// then. It sees an orderly close, with or without BUSY before, and no member gets the request.
+// TestCrossingStopIdleClient: a client that has been answered PONG stays idle until the relay closes the
+// connection, and sends a request at that moment. It must see an orderly close, with or without BUSY
+// before it, and no member must get the request.
 func TestCrossingStopIdleClient(t *testing.T) {
 	t.Parallel()
 	s := newScriptedRig(t, 1, nil)
@@ -119,27 +122,28 @@
 	if line := c.line(); strings.HasPrefix(line, "BUSY") {
 		c.wantLine(io.EOF.Error())
 	} else if line != io.EOF.Error() {
-		t.Errorf("ended by %q", line)
+		t.Errorf("the connection ended with %q, want BUSY or %v", line, io.EOF)
 	}
-	fmt.Fprint(c, firstLine(1, 2*time.Second)+"\r\n") // may fail
+	fmt.Fprint(c, firstLine(1, 2*time.Second)+"\r\n") // may fail, since the connection is closed
 	s.wantTimelyExit(since)
 	if s.attemptCount(1) > 0 {
-		t.Error("sent on after the end of its connection")
+		t.Error("a request that came after the close of its connection was forwarded to a member")
 	}
 }
 
-// TestCrossingStopSilentFlows: a flow's client and member stay silent, and the client rests after MOVE without ending its side. The process ends all
-// the same, and MOVE is not lost by its end.
+// TestCrossingStopSilentFlows: clients and members of open flows stay silent during the shutdown, and the
+// clients do not close their side after MOVE. The process must end in time, and MOVE must not be lost.
 func TestCrossingStopSilentFlows(t *testing.T) {
 	t.Parallel()
 	s := newScriptedRig(t, 2, nil)
 	all := s.newFlows(6)
 	since := s.terminate()
 	s.wantTimelyExit(since)
-	wantMoved(all...) // read only now
+	wantMoved(all...) // read only after the process has ended
 }
 
-// TestCrossingStopClientWrites: clients write lines on open flows while they are moved: MOVE reaches each, no connection is reset under it.
+// TestCrossingStopClientWrites: clients keep writing lines on open flows during the shutdown. Each must
+// get MOVE, and none must have its connection reset before it.
 func TestCrossingStopClientWrites(t *testing.T) {
 	t.Parallel()
 	s := newScriptedRig(t, 2, nil)
@@ -168,8 +172,8 @@
 	s.wantTimelyExit(since)
 }
 
-// TestCrossingStopRepeatedSignal: a second and a third SIGTERM change nothing: requests in flight are answered, open flows are moved,
-// and the process exits without error.
+// TestCrossingStopRepeatedSignal: a second and a third SIGTERM must change nothing: requests in flight are
+// answered, open flows are moved, and the process exits without an error.
 func TestCrossingStopRepeatedSignal(t *testing.T) {
 	t.Parallel()
 	s := newScriptedRig(t, 2, nil)
@@ -187,7 +191,8 @@
 	s.wantTimelyExit(since)
 }
 
-// TestCrossingStopRejected: a member rejects a request after SIGTERM. The client gets one answer, and attempts never overlap.
+// TestCrossingStopRejected: a member rejects or resets an attempt after SIGTERM. The client must get one
+// final answer, and attempts must not overlap.
 func TestCrossingStopRejected(t *testing.T) {
 	t.Parallel()
 	for name, end := range map[string]func(*attempt){"busy": (*attempt).reject, "reset": (*attempt).reset} {
@@ -208,14 +213,14 @@
 			case "BUSY", "ERR":
 				c.wantLine(io.EOF.Error())
 			default:
-				t.Errorf("answered %q", answer)
+				t.Errorf("answered %q, want UP, BUSY or ERR", answer)
 			}
 			s.wantTimelyExit(since)
 		})
 	}
 }
 
-// ends by which a client goes away.
+// clientEnds are the ways in which a client closes its connection.
 var clientEnds = map[string]func(*client){
 	"close": func(c *client) { c.Close() },
 	"reset": func(c *client) {
@@ -224,8 +229,8 @@
 	},
 }
 
-// TestCrossingClientLeavesInFlight: the client leaves while its attempt is in flight at a member, which rejects or resets it after
-// that. No further attempt starts.
+// TestCrossingClientLeavesInFlight guards against a retry for a client that has left: it leaves while its
+// attempt is in flight, and then the member rejects or resets the attempt.
 func TestCrossingClientLeavesInFlight(t *testing.T) {
 	t.Parallel()
 	for clientEnd, leave := range clientEnds {
@@ -236,7 +241,7 @@
 				before := s.descriptors()
 				c := s.openFlow(1, "")
 				a := s.nextAttempt()
-				s.suspend() // both events wait for the same round, the client's first
+				s.suspend() // so that one round of the event loop sees both events, the client's first
 				leave(c)
 				end(a)
 				s.resume()
@@ -245,20 +250,21 @@
 				s.waitDescriptorsReleased(before)
 				s.wantTimelyExit(s.terminate())
 				if n := s.attemptCount(1); n != 1 {
-					t.Errorf("%d attempts for a client that has gone", n)
+					t.Errorf("%d attempts for a client that has left, want 1", n)
 				}
 			})
 		}
 	}
 }
 
-// serveOne is a request that is served to its end: what came to the relay before it has been handled.
+// serveOne sends a request and has it served to its end. When it returns, the relay has handled all
+// events that came before it.
 func (s *scriptedRig) serveOne(n int) {
 	s.t.Helper()
 	c, a := s.newFlow(n)
 	c.send("END")
 	if got := a.nextLine(); got != "END" {
-		s.t.Errorf("the member got %q", got)
+		s.t.Errorf("the member got %q, want END", got)
 	}
 	a.countEnd()
 	a.write("BYE\r\n")
@@ -267,7 +273,8 @@
 	c.wantLine(io.EOF.Error())
 }
 
-// TestCrossingClientLeavesConnecting: the client leaves while no member accepts the connection. Once they do, none gets the request.
+// TestCrossingClientLeavesConnecting: a client leaves while the relay's connection to the member is not
+// yet established. Once the member accepts connections, it must not get the request.
 func TestCrossingClientLeavesConnecting(t *testing.T) {
 	t.Parallel()
 	for name, leave := range clientEnds {
@@ -279,23 +286,24 @@
 			list[0].Addr = blocked.addr()
 			s := &scriptedRig{d: newDiscovery(t, list...), members: members, attemptCounter: counter}
 			s.relay = start(t, configure(t, s.d, nil), 1)
-			waitFor(t, "the first watch", func() bool { return s.d.Calls() > 1 })
+			waitFor(t, "the first watch at discovery", func() bool { return s.d.Calls() > 1 })
 			before := s.descriptors()
 			c := s.openFlow(1, "")
-			waitFor(t, "a connection that does not come up", func() bool { return sockets(t, blocked.addr(), synSent) > 0 })
+			waitFor(t, "a connection in state SYN_SENT", func() bool { return sockets(t, blocked.addr(), synSent) > 0 })
 			leave(c)
 			s.waitDescriptorsReleased(before)
 			blocked.unblock()
 			since := s.terminate()
 			s.wantTimelyExit(since)
 			if n := s.attemptCount(1); n != 0 {
-				t.Errorf("%d attempts for a client that has gone", n)
+				t.Errorf("%d attempts for a client that has left, want 0", n)
 			}
 		})
 	}
 }
 
-// TestCrossingClientLeavesBeforeUp: the client goes just before its member answers UP: the flow ends at the member, and nothing else starts.
+// TestCrossingClientLeavesBeforeUp: a client leaves just before its member answers UP. The relay must close
+// the flow at the member and start no other attempt.
 func TestCrossingClientLeavesBeforeUp(t *testing.T) {
 	t.Parallel()
 	for name, leave := range clientEnds {
@@ -314,7 +322,7 @@
 			s.waitDescriptorsReleased(before)
 			s.wantTimelyExit(s.terminate())
 			if n := s.attemptCount(1); n != 1 {
-				t.Errorf("%d attempts", n)
+				t.Errorf("%d attempts, want 1", n)
 			}
 		})
 	}
--- a/integration/crossing_upgrade_test.go
+++ b/integration/crossing_upgrade_test.go
@@ -10,7 +10,8 @@
 	"time"
 )
 
-// newUpgradeRig is a relay that can have a successor, with open flows.
+// newUpgradeRig returns a relay that supports an upgrade, with open flows and their two ends. A successor
+// is a second process with the same configuration, to which the first one hands over its connections.
 func newUpgradeRig(t *testing.T, flows int) (s *scriptedRig, clients []*client, members []*attempt) {
 	t.Helper()
 	s = newScriptedRig(t, 2, map[string]any{"operator": "127.0.0.1:0"})
@@ -21,7 +22,8 @@
 	return s, clients, members
 }
 
-// handOverFlows stops the relay while its successor is suspended, and returns once it has handed its flows over.
+// handOverFlows stops the relay while its successor is suspended. When it returns the relay has sent its
+// flows to the successor, which has not received them yet.
 func (s *scriptedRig) handOverFlows(next *relay) time.Time {
 	s.t.Helper()
 	next.suspend()
@@ -30,8 +32,8 @@
 	return since
 }
 
-// waitLoopRound returns when the event loop has completed a round: an operator's call is answered, or refused because the
-// fronts are closed.
+// waitLoopRound waits until the event loop has completed a round: until an operator call is answered, or
+// refused because the listeners are closed.
 func (s *scriptedRig) waitLoopRound() {
 	c, err := net.Dial("tcp", s.addrs["operator"])
 	if err != nil {
@@ -43,33 +45,34 @@
 	c.Read(make([]byte, 1))
 }
 
-// handoverSocketInode is the inode of the socket at which a successor is awaited. A process that begins to accept clients creates it
-// second.
+// handoverSocketInode returns the inode of the socket on which a relay listens for its successor, 0 if
+// there is none. A process that begins to accept clients creates the socket anew.
 func (r *relay) handoverSocketInode() uint64 {
 	r.t.Helper()
 	paths, err := filepath.Glob(filepath.Join(filepath.Dir(r.configPath), "dahliarudder-*", "upgrade.sock"))
 	if err != nil || len(paths) > 1 {
-		r.t.Fatalf("sockets %q, %v", paths, err)
+		r.t.Fatalf("handover sockets %q (error: %v), want at most one", paths, err)
 	}
 	var at syscall.Stat_t
 	if len(paths) == 0 || syscall.Stat(paths[0], &at) != nil {
-		return 0 // between its end and its start
+		return 0 // the old one is removed and the new one not yet created
 	}
 	return at.Ino
 }
 
-// exchangeLine passes a line each way on a flow.
+// exchangeLine sends a line each way on a flow.
 func exchangeLine(c *client, a *attempt, line string) {
 	c.t.Helper()
 	c.send(line)
 	if got := a.nextLine(); got != line {
-		c.t.Errorf("the member got %q for %q", got, line)
+		c.t.Errorf("the member got %q, want %q", got, line)
 	}
 	a.write("GOT " + line + "\r\n")
 	c.wantLine("GOT " + line)
 }
 
-// TestCrossingHandoverBytes: bytes arrive both ways while a flow is on its way to the successor. All arrive, in order.
+// TestCrossingHandoverBytes: bytes arrive from both sides while flows are being handed over. All must
+// reach the other side, in order.
 func TestCrossingHandoverBytes(t *testing.T) {
 	t.Parallel()
 	s, clients, members := newUpgradeRig(t, 6)
@@ -98,7 +101,8 @@
 	wantMoved(clients...)
 }
 
-// TestCrossingHandoverFlowEnds: the client, or the member, ends a flow while it is on its way to the successor. The other side ends in the same manner.
+// TestCrossingHandoverFlowEnds: the client or the member ends a flow while it is being handed over. The
+// relay must end the other side in the same manner.
 func TestCrossingHandoverFlowEnds(t *testing.T) {
 	t.Parallel()
 	for name, leave := range clientEnds {
@@ -142,7 +146,8 @@
 	})
 }
 
-// TestCrossingHandoverMemberDrains: a member drains, or is gone from the list, while its flows are on their way. The successor moves them.
+// TestCrossingHandoverMemberDrains: members drain or disappear from the list while their flows are being
+// handed over. The successor must move the clients.
 func TestCrossingHandoverMemberDrains(t *testing.T) {
 	t.Parallel()
 	for _, lifecycle := range []string{"DRAINING", "DELETED"} {
@@ -165,7 +170,8 @@
 	}
 }
 
-// TestCrossingHandoverSuccessorKilled: the successor is killed with flows on their way to it. The first one, which has given them up, moves their clients.
+// TestCrossingHandoverSuccessorKilled: the successor is killed while flows are being handed over to it.
+// The first process, which no longer serves them, must move their clients.
 func TestCrossingHandoverSuccessorKilled(t *testing.T) {
 	t.Parallel()
 	s, clients, _ := newUpgradeRig(t, 6)
@@ -177,7 +183,8 @@
 	s.wantTimelyExit(since)
 }
 
-// newAllDrainingRig is a relay all of whose members drain. Once they serve they accept all attempts.
+// newAllDrainingRig returns a relay whose members are all draining. They accept all attempts once the
+// test lists them as serving.
 func newAllDrainingRig(t *testing.T, members int) *scriptedRig {
 	t.Helper()
 	s := newScriptedRig(t, members, map[string]any{"operator": "127.0.0.1:0"})
@@ -185,27 +192,29 @@
 		m.setAutoAccept(true)
 		s.d.SetLifecycle(m.id, "DRAINING")
 	}
-	waitFor(t, "no member", func() bool { return s.call("GET", "/-/ready") == 503 })
+	waitFor(t, "the relay to be without a usable member", func() bool { return s.call("GET", "/-/ready") == 503 })
 	return s
 }
 
-// suspendBothAtTakeover starts a successor, and suspends both processes just as that begins to accept clients: once the members serve.
+// suspendBothAtTakeover starts a successor and suspends both processes when it begins to accept clients,
+// which it does once the test lists the members as serving.
 func (s *scriptedRig) suspendBothAtTakeover() *relay {
 	s.t.Helper()
-	next := start(s.t, s.configPath, 2) // it accepts no clients before it has a member
+	next := start(s.t, s.configPath, 2) // accepts no clients until it has a usable member
 	s.waitLogged("a successor starts")
 	s.suspend()
 	before := s.handoverSocketInode()
 	for _, m := range s.members {
 		s.d.SetLifecycle(m.id, "SERVING")
 	}
-	waitFor(s.t, "the successor's beginning", func() bool { now := s.handoverSocketInode(); return now != 0 && now != before })
+	waitFor(s.t, "the successor to accept clients", func() bool { now := s.handoverSocketInode(); return now != 0 && now != before })
 	next.suspend()
 	return next
 }
 
-// TestCrossingHandoverSuccessorKilledBeforeRequest: the successor is killed with connections on their way to it whose first lines have come or are still to come. The
-// firstFirst one serves them.
+// TestCrossingHandoverSuccessorKilledBeforeRequest: the successor is killed while connections without a
+// flow are being handed over to it; some have sent their first line, some have not. The first process
+// must serve them.
 func TestCrossingHandoverSuccessorKilledBeforeRequest(t *testing.T) {
 	t.Parallel()
 	s := newAllDrainingRig(t, 2)
@@ -213,7 +222,7 @@
 	line := firstLine(3, 2900*time.Millisecond) + "\r\n"
 	fmt.Fprint(half, line[:30])
 	front.send("PING")
-	front.wantLine("PONG") // the others were accepted before
+	front.wantLine("PONG") // the earlier connections have been accepted by now
 	next := s.suspendBothAtTakeover()
 	sent.send(firstLine(1, 2900*time.Millisecond))
 	s.resume()
@@ -233,7 +242,8 @@
 	s.stop()
 }
 
-// TestCrossingHandoverPredecessorKilled: the first process is killed with flows on their way to its successor, which serves them.
+// TestCrossingHandoverPredecessorKilled: the first process is killed while flows are being handed over.
+// The successor must serve them.
 func TestCrossingHandoverPredecessorKilled(t *testing.T) {
 	t.Parallel()
 	s, clients, members := newUpgradeRig(t, 6)
@@ -250,11 +260,11 @@
 	wantMoved(clients...)
 }
 
-// TestCrossingHandoverManyIdle: SIGTERM comes while more idle connections wait for the handover than may be in transit, and then their
-// firstFirst lines come. The successor serves each.
+// TestCrossingHandoverManyIdle: SIGTERM comes while more idle connections wait for the handover than may be
+// in transfer at once; then their first lines arrive. The successor must serve each of them.
 func TestCrossingHandoverManyIdle(t *testing.T) {
 	t.Parallel()
-	const idleClients = 20 // passBurst of the program is 8
+	const idleClients = 20 // handoverBurst of the program is 8
 	s := newAllDrainingRig(t, 8)
 	var all []*client
 	for range idleClients {
@@ -262,7 +272,7 @@
 	}
 	front := s.dial()
 	front.send("PING")
-	front.wantLine("PONG") // the others were accepted before
+	front.wantLine("PONG") // the earlier connections have been accepted by now
 	next := s.suspendBothAtTakeover()
 	s.resume()
 	s.waitLogged("a successor serves")
@@ -281,8 +291,9 @@
 	next.stop()
 }
 
-// TestCrossingHandoverBothStop: SIGTERM to both, at the first one before, at the successor before, or with the first one already past its listeners. Who
-// suspended arrives is answered by one of them, and flows are moved.
+// TestCrossingHandoverBothStop: both processes get SIGTERM: the first one before the successor, after it,
+// at the same time, or when it no longer accepts clients. A client that still connects must be
+// answered by one of them, and open flows must be moved.
 func TestCrossingHandoverBothStop(t *testing.T) {
 	t.Parallel()
 	wantBusy := func(t *testing.T, s *scriptedRig, n int) {
@@ -291,12 +302,12 @@
 		c.wantLine("BUSY ")
 		c.wantLine(io.EOF.Error())
 	}
-	t.Run("the first is past its listeners", func(t *testing.T) {
+	t.Run("the first no longer accepts", func(t *testing.T) {
 		t.Parallel()
 		s, _, _ := newUpgradeRig(t, 0)
 		next := s.startSuccessor(2)
 		s.terminate()
-		s.suspend() // within the time that its last answers have
+		s.suspend() // during the time that its last answers have to leave
 		since := time.Now()
 		next.cmd.Process.Signal(syscall.SIGTERM)
 		next.waitLogged("msg=stopping")
@@ -305,12 +316,12 @@
 		}
 		next.waitExit()
 		if took := time.Since(since); took > maxCountedDeadline+killMargin {
-			t.Errorf("the successor ended %v after SIGTERM", took)
+			t.Errorf("the successor ended %v after SIGTERM, want at most %v", took, maxCountedDeadline+killMargin)
 		}
 		s.resume()
 		s.waitExit()
 	})
-	for name, suspendFirst := range map[string]bool{"at once, the first stands still": true, "at once, the successor stands still": false} {
+	for name, suspendFirst := range map[string]bool{"at once, the first is suspended": true, "at once, the successor is suspended": false} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			s, _, _ := newUpgradeRig(t, 0)
@@ -319,7 +330,7 @@
 			if !suspendFirst {
 				suspended, other = next, s.relay
 			}
-			suspended.suspend() // its own SIGTERM and the other's word wait for the same round
+			suspended.suspend() // so that one loop round sees its own SIGTERM and the message of the other process
 			other.cmd.Process.Signal(syscall.SIGTERM)
 			other.waitLogged("msg=stopping")
 			suspended.cmd.Process.Signal(syscall.SIGTERM)
@@ -332,15 +343,15 @@
 			s.waitExit()
 		})
 	}
-	for name, firstFirst := range map[string]bool{"the first at first": true, "the successor at first": false} {
+	for name, firstBeforeSuccessor := range map[string]bool{"the first before the successor": true, "the successor before the first": false} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			s, clients, _ := newUpgradeRig(t, 4)
-			pending := s.openFlow(50, "") // keeps the first one from ending
+			pending := s.openFlow(50, "") // prevents the first process from ending
 			a := s.nextAttempt()
 			next := s.startSuccessor(2)
 			one, other := s.relay, next
-			if !firstFirst {
+			if !firstBeforeSuccessor {
 				one, other = next, s.relay
 			}
 			since := time.Now()
@@ -360,8 +371,9 @@
 	}
 }
 
-// TestCrossingHandoverDuplicateID: a request is in progress in the first process while its id is sent to the successor: before the flow
-// is open, during the handover, and after it. It is rejected each time, and there is one attempt.
+// TestCrossingHandoverDuplicateID guards against a second attempt for a request id that is in use: while a
+// request is in progress in the first process, the same id is sent to the successor before the flow is
+// open, during the handover and after it. It must be rejected each time.
 func TestCrossingHandoverDuplicateID(t *testing.T) {
 	t.Parallel()
 	s, _, _ := newUpgradeRig(t, 0)
@@ -380,7 +392,7 @@
 	s.wantTimelyExit(since)
 	next.openFlow(7, "").wantLine("ERR")
 	if n := s.attemptCount(7); n != 1 {
-		t.Errorf("%d attempts", n)
+		t.Errorf("%d attempts, want 1", n)
 	}
 	exchangeLine(c, a, "still here")
 	next.stop()
