--- a/integration/comments_test.go
+++ b/integration/comments_test.go
@@ -10,9 +10,10 @@
 	"testing"
 )
 
-// TestComments lists the packages and exported names outside tests that have no comment.
+// TestComments fails for each package without a package comment and each exported name without a comment,
+// outside tests.
 func TestComments(t *testing.T) {
-	packages := map[string]bool{} // by directory: whether it has a comment
+	packages := map[string]bool{} // by directory, whether the package has a comment
 	files := token.NewFileSet()
 	err := filepath.WalkDir("..", func(path string, entry fs.DirEntry, err error) error {
 		if err != nil || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
@@ -33,7 +34,7 @@
 		t.Fatal(err)
 	}
 	if len(packages) == 0 {
-		t.Error("no package was found")
+		t.Error("no Go package found below the module's directory")
 	}
 	for dir, commented := range packages {
 		if !commented {
@@ -42,7 +43,7 @@
 	}
 }
 
-// TestUncommented shows what counts as a comment.
+// TestUncommented checks what counts as a comment.
 func TestUncommented(t *testing.T) {
 	const text = `package trial
 func Bare() {}
@@ -77,12 +78,12 @@
 	}
 	const want = "Bare BareType BareMethod BarePointer BareGeneric BareOfGeneric BareConst BareVar"
 	if got := strings.Join(names, " "); got != want {
-		t.Errorf("%s, not %s", got, want)
+		t.Errorf("uncommented() = %s, want %s", got, want)
 	}
 }
 
-// uncommented are a file's exported names without a comment. A comment on a group of constants, variables or types counts for
-// each; methods of types that are not exported need none.
+// uncommented returns the exported names of a file that have no comment. A comment on a group of
+// constants, variables or types counts for all of them. Methods of unexported types need none.
 func uncommented(file *ast.File) (names []*ast.Ident) {
 	for _, declaration := range file.Decls {
 		switch d := declaration.(type) {
@@ -117,7 +118,7 @@
 	return names
 }
 
-// receiver is the name of a method's type.
+// receiver returns the type name of a method's receiver.
 func receiver(method *ast.FuncDecl) *ast.Ident {
 	kind := method.Recv.List[0].Type
 	for {
--- a/integration/rig_test.go
+++ b/integration/rig_test.go
@@ -1,4 +1,5 @@
-// Package integration tests the built program over sockets, among fakes of discovery, pool members, NATS servers and PostgreSQL.
+// Package integration tests the built program over sockets, with fakes of discovery, pool members, NATS
+// servers and PostgreSQL.
 package integration
 
 import (
@@ -25,12 +26,14 @@
 	"dahliarudder/internal/fakes"
 )
 
-// eventTimeout is how long a test waits for an event. Only a failing test waits that long.
+// eventTimeout is how long a test waits for an event before it fails.
 const eventTimeout = 30 * time.Second
 
+// program is the path of the built program.
 var program string
 
-// minParallel is how many parallel tests run at a time, on a machine with fewer cores too: they mostly wait for processes.
+// minParallel is the least number of tests that run in parallel, also on a machine with fewer cores:
+// they spend most of their time waiting for processes.
 const minParallel = 4
 
 func TestMain(m *testing.M) {
@@ -57,17 +60,18 @@
 	os.Exit(code)
 }
 
-// waitFor waits until ok returns true.
+// waitFor waits until ok returns true and fails the test after eventTimeout. event describes in messages
+// what it waits for.
 func waitFor(t testing.TB, event string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(eventTimeout); !ok(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("waited in vain: %s", event)
+			t.Fatalf("timed out after %v waiting for %s", eventTimeout, event)
 		}
 	}
 }
 
-// listen serves connections to a new port of the loopback, each in its own goroutine.
+// listen listens on a free port of the loopback and calls serve for each connection in its own goroutine.
 func listen(t testing.TB, serve func(net.Conn)) net.Listener {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -87,37 +91,40 @@
 	return l
 }
 
+// loopbackPorts is the loopback address of this test run and the last port taken from it.
 var loopbackPorts struct {
 	sync.Mutex
 	host   string
-	holder net.Listener
-	last   int
+	holder net.Listener // on firstReservedPort, shows other runs that host is taken
+	last   int          // offset from firstReservedPort
 }
 
 const (
-	firstReservedPort = 12000 // below the ports that systems assign
-	reservedPorts     = 20000
+	firstReservedPort = 12000 // below the ephemeral port range
+	reservedPorts     = 20000 // ports from firstReservedPort on
 )
 
-// reservePort returns an address for a relay that has to be known before it listens, or reserved while it is down. Each run of the
-// tests has a loopback address for itself, reserved by its first port, and returns no port of it twice: a relay whose gossip port was
-// taken by another process meanwhile would serve without gossip.
+// reservePort returns an address for a relay that must be known before the relay listens, or stay free
+// while the relay is down. Each test run has a loopback address of its own, which it claims by listening
+// on its first port, and uses each port once. Otherwise another process might take the port meanwhile,
+// and a relay that cannot bind its gossip port serves without gossip.
 func reservePort(t testing.TB) string {
 	t.Helper()
 	loopbackPorts.Lock()
 	defer loopbackPorts.Unlock()
 	for n := os.Getpid(); loopbackPorts.holder == nil; n++ {
 		if n-os.Getpid() == 1000 {
-			t.Fatal("no address of the loopback is free")
+			t.Fatal("all 1000 loopback addresses tried are taken by other test runs")
 		}
 		loopbackPorts.host = fmt.Sprintf("127.64.%d.%d", n/250%250, 1+n%250)
-		loopbackPorts.holder, _ = net.Listen("tcp", fmt.Sprintf("%s:%d", loopbackPorts.host, firstReservedPort)) // until this process ends
+		// Stays open until this process ends.
+		loopbackPorts.holder, _ = net.Listen("tcp", fmt.Sprintf("%s:%d", loopbackPorts.host, firstReservedPort))
 	}
 	for loopbackPorts.last++; loopbackPorts.last < reservedPorts; loopbackPorts.last++ {
 		addr := fmt.Sprintf("%s:%d", loopbackPorts.host, firstReservedPort+loopbackPorts.last)
 		l, err := net.Listen("tcp", addr)
 		if err != nil {
-			continue // somebody has it at all addresses
+			continue // another process listens on this port at all addresses
 		}
 		l.Close()
 		if u, err := net.ListenPacket("udp", addr); err == nil {
@@ -125,13 +132,13 @@
 			return addr
 		}
 	}
-	t.Fatal("all ports have been given out")
+	t.Fatalf("all %d ports of %s are used up", reservedPorts, loopbackPorts.host)
 	return ""
 }
 
 // ---- Fakes ----
 
-// entry is an entry of discovery's list.
+// member is a pool member's entry in discovery's list.
 type member = fakes.Entry
 
 // discovery is a fake discovery service at one address.
@@ -147,7 +154,7 @@
 	return d
 }
 
-// answerOpen serves the list at one more address.
+// open serves the list at a further address and returns it.
 func (d *discovery) open(t testing.TB) string {
 	t.Helper()
 	addr, err := d.Open("", nil)
@@ -157,7 +164,7 @@
 	return addr
 }
 
-// fakeMember is a fake pool member with unlimited capacity.
+// fakeMember is a fake pool member with unlimited capacity, which answers by itself.
 type fakeMember struct {
 	*fakes.Member
 	id string
@@ -172,7 +179,7 @@
 	t.Cleanup(func() {
 		b.Kill()
 		if bad := b.invalidFirstLines(); len(bad) > 0 {
-			t.Errorf("%s got first lines that no client may send: %q", id, bad)
+			t.Errorf("member %s got invalid first lines: %q", id, bad)
 		}
 	})
 	return b
@@ -187,7 +194,7 @@
 	return all
 }
 
-// invalidFirstLines returns the first lines that no client may send.
+// invalidFirstLines returns the first lines received that are not valid.
 func (b *fakeMember) invalidFirstLines() []string {
 	_, bad := b.FirstLines()
 	return bad
@@ -204,14 +211,14 @@
  "guarantees":{"answer-slack-ms":8,"cold-ms":8600,"cold-from":0.31,"overload-factor":2.5,"ask-within-ms":10000,"drain-grace-ms":250,"fall-ms":3000},
  "extra":{"mode":"proxy","groups":true,"message-aim-ms":[250,100]},"discovery":"subscribe"}`
 
-// relay is a process of the program.
+// relay is a running process of the program.
 type relay struct {
 	t          testing.TB
 	cmd        *exec.Cmd
 	log        *syncBuffer
 	done       chan error
-	addrs      map[string]string // by front
-	configPath string            // of its configuration
+	addrs      map[string]string // listen addresses, by front
+	configPath string
 }
 
 type syncBuffer struct {
@@ -231,7 +238,7 @@
 	return s.b.String()
 }
 
-// configure writes a configuration with further keys.
+// configure writes a configuration file with extra as further top-level keys and returns its path.
 func configure(t testing.TB, d *discovery, extra map[string]any) string {
 	t.Helper()
 	c := map[string]any{"name": "n0", "listen": "127.0.0.1:0", "discovery": d.addr, "seed": "8c1f30d27a5be964",
@@ -258,7 +265,7 @@
 
 var servingLine = regexp.MustCompile(`msg=serving front=(\w+) listen="([0-9.:]+)"`)
 
-// start starts the program and waits until it serves.
+// start starts the program and waits until it serves the given number of fronts.
 func start(t testing.TB, config string, fronts int) *relay {
 	t.Helper()
 	r := launch(t, config)
@@ -266,20 +273,20 @@
 	return r
 }
 
-// launch starts the program.
+// launch starts the program and does not wait.
 func launch(t testing.TB, config string) *relay {
 	t.Helper()
 	return launchProgram(t, program, config)
 }
 
-// launchProgram starts a program as the relay, with further environment variables.
+// launchProgram starts the executable at path as the relay, with further environment variables.
 func launchProgram(t testing.TB, path, config string, env ...string) *relay {
 	t.Helper()
 	r := &relay{t: t, cmd: exec.Command(path, "serve", "--config", config), log: &syncBuffer{},
 		done: make(chan error, 1), addrs: map[string]string{}, configPath: config}
 	r.cmd.Stderr = r.log
 	r.cmd.Env = append(os.Environ(), "EDGE_NAME=", "EDGE_LISTEN=", "EDGE_DISCOVERY=", "EDGE_CONFIG=", "EDGE_OPERATOR=",
-		"TMPDIR="+filepath.Dir(config)) // private, and shared by all processes with this file
+		"TMPDIR="+filepath.Dir(config)) // private to the test, shared by all processes with this configuration file
 	r.cmd.Env = append(r.cmd.Env, env...)
 	if err := r.cmd.Start(); err != nil {
 		t.Fatal(err)
@@ -294,7 +301,7 @@
 	return r
 }
 
-// waitServing waits until a number of fronts listen.
+// waitServing waits until the given number of fronts listen, and records their addresses.
 func (r *relay) waitServing(fronts int) {
 	r.t.Helper()
 	waitFor(r.t, "the relay to serve", func() bool {
@@ -303,14 +310,14 @@
 		}
 		select {
 		case err := <-r.done:
-			r.t.Fatalf("the relay has ended: %v", err)
+			r.t.Fatalf("the relay ended with %v before it served", err)
 		default:
 		}
 		return len(r.addrs) == fronts
 	})
 }
 
-// call makes an operator's call and returns the status.
+// call makes an operator call and returns the HTTP status.
 func (r *relay) call(method, path string) int {
 	r.t.Helper()
 	q, err := http.NewRequest(method, "http://"+r.addrs["operator"]+path, nil)
@@ -326,15 +333,15 @@
 	return answer.StatusCode
 }
 
-// mustPut makes an operator's PUT that has to succeed.
+// mustPut makes an operator's PUT call and fails the test unless the answer is 200.
 func (r *relay) mustPut(path string) {
 	r.t.Helper()
 	if code := r.call("PUT", path); code != 200 {
-		r.t.Fatalf("PUT %s: %d", path, code)
+		r.t.Fatalf("PUT %s: status %d, want 200", path, code)
 	}
 }
 
-// reload replaces texts of the configuration and sends SIGHUP.
+// reload replaces texts in the configuration file, given as pairs of old and new, and sends SIGHUP.
 func (r *relay) reload(oldnew ...string) {
 	r.t.Helper()
 	text, err := os.ReadFile(r.configPath)
@@ -345,23 +352,23 @@
 	r.cmd.Process.Signal(syscall.SIGHUP)
 }
 
-// waitLogged waits until the log contains a text.
+// waitLogged waits until the relay's log contains text.
 func (r *relay) waitLogged(text string) {
 	r.t.Helper()
-	waitFor(r.t, "the log to tell: "+text, func() bool { return strings.Contains(r.log.String(), text) })
+	waitFor(r.t, "the log to contain "+text, func() bool { return strings.Contains(r.log.String(), text) })
 }
 
-// stop sends SIGTERM and waits for an exit without error.
+// stop sends SIGTERM and waits until the relay exits, which must be without an error.
 func (r *relay) stop() {
 	r.t.Helper()
 	r.cmd.Process.Signal(syscall.SIGTERM)
 	select {
 	case err := <-r.done:
 		if err != nil {
-			r.t.Errorf("the relay ended with %v", err)
+			r.t.Errorf("the relay ended with %v, want exit code 0", err)
 		}
 	case <-time.After(eventTimeout):
-		r.t.Fatal("the relay does not end")
+		r.t.Fatalf("the relay did not end within %v after SIGTERM", eventTimeout)
 	}
 }
 
@@ -371,7 +378,7 @@
 	t testing.TB
 	net.Conn
 	in          *bufio.Reader
-	finalAnswer string // where a test has recorded it
+	finalAnswer string // the final answer, once wantAnswerInTime has read it
 }
 
 func (r *relay) dial() *client {
@@ -390,7 +397,7 @@
 	return &client{t: r.t, Conn: c, in: bufio.NewReader(c)}
 }
 
-// openFlow sends the first line of request number n.
+// openFlow sends the first line of request number n. extraFields is appended to it.
 func (r *relay) openFlow(n int, extraFields string) *client {
 	r.t.Helper()
 	c := r.dial()
@@ -398,7 +405,7 @@
 	return c
 }
 
-// openFlows opens flows that are accepted.
+// openFlows opens n flows and waits until each is accepted.
 func (r *relay) openFlows(n int) (flows []*client) {
 	r.t.Helper()
 	for i := range n {
@@ -409,7 +416,7 @@
 	return flows
 }
 
-// wantMoved expects MOVE and the end of the connection on each flow.
+// wantMoved checks that each client gets MOVE and then the end of the connection.
 func wantMoved(flows ...*client) {
 	for _, c := range flows {
 		c.t.Helper()
@@ -425,7 +432,7 @@
 	}
 }
 
-// line reads a line. At the end of the connection it returns the error's text.
+// line reads a line. If the connection ends it returns the error's text instead.
 func (c *client) line() string {
 	line, err := c.in.ReadString('\n')
 	if err != nil {
@@ -434,12 +441,12 @@
 	return strings.TrimSuffix(line, "\r\n")
 }
 
-// wantLine reads a line that has to start with prefix.
+// wantLine reads a line and fails the test unless it starts with prefix.
 func (c *client) wantLine(prefix string) string {
 	c.t.Helper()
 	line := c.line()
 	if !strings.HasPrefix(line, prefix) {
-		c.t.Fatalf("got %q, want %q", line, prefix)
+		c.t.Fatalf("got line %q, want prefix %q", line, prefix)
 	}
 	return line
 }
@@ -450,7 +457,7 @@
 	return r.dialFront("nats")
 }
 
-// runCommand runs a sub-command.
+// runCommand runs a sub-command of the program and returns its combined output.
 func runCommand(args ...string) (string, error) {
 	out, err := exec.Command(program, args...).CombinedOutput()
 	return string(out), err
