--- a/integration/line_test.go
+++ b/integration/line_test.go
@@ -14,7 +14,7 @@
 	"dahliarudder/internal/fakes"
 )
 
-// lineRig is a relay with its discovery and members.
+// lineRig is a relay with a fake discovery and fake members that answer by themselves.
 type lineRig struct {
 	*relay
 	d              *discovery
@@ -40,7 +40,7 @@
 	return s
 }
 
-// memberOfFlow is the member that has a flow, by the UP line.
+// memberOfFlow returns the member named in the UP line of a flow.
 func (s *lineRig) memberOfFlow(up string) *fakeMember {
 	s.t.Helper()
 	for _, b := range s.members {
@@ -48,12 +48,12 @@
 			return b
 		}
 	}
-	s.t.Fatalf("no member made %q", up)
+	s.t.Fatalf("%q names none of the members", up)
 	return nil
 }
 
-// TestFlow: flows come up with a member's receipt, lines pass both ways
-// unchanged, only d is rewritten, and a served flow ends politely.
+// TestFlow: flows are accepted with the member's receipt, lines pass both ways unchanged, the first line
+// changes in its field d only, and a flow that is served ends with an orderly close.
 func TestFlow(t *testing.T) {
 	s := newLineRig(t, 3, nil)
 	for n := range 20 {
@@ -61,13 +61,13 @@
 		up := c.wantLine("UP ")
 		b := s.memberOfFlow(up)
 		if up != fmt.Sprintf("UP %s/%016x", b.id, n) {
-			t.Fatalf("receipt %q", up)
+			t.Fatalf("UP line = %q, want UP %s/%016x", up, b.id, n)
 		}
 		for _, word := range []string{"hello", "OPEN sesame", ""} {
 			c.send(word)
 			c.wantLine("LOAD ")
 			if got := c.wantLine("GOT "); !strings.HasSuffix(got, " "+word) {
-				t.Fatalf("got %q for %q", got, word)
+				t.Fatalf("the member echoed %q, want %q", got, word)
 			}
 		}
 		c.send("END")
@@ -84,7 +84,7 @@
 	s.stop()
 }
 
-// TestPing: a front admits a relay by PING on a connection that may go on.
+// TestPing: PING is the readiness check of a front proxy; the connection stays usable after it.
 func TestPing(t *testing.T) {
 	s := newLineRig(t, 1, nil)
 	c := s.dial()
@@ -96,8 +96,8 @@
 	c.wantLine("UP ")
 }
 
-// TestMemberFaults: members that turn away, fail or reset cost a request at most three
-// attempts, one after another, and every request gets exactly one final answer.
+// TestMemberFaults: with members that reject, fail or reset, a request costs at most three attempts, one
+// after another, and gets exactly one final answer.
 func TestMemberFaults(t *testing.T) {
 	for _, mode := range []fakes.MemberMode{fakes.ModeBusy, fakes.ModeErr, fakes.ModeReset} {
 		t.Run(string(mode), func(t *testing.T) {
@@ -116,7 +116,7 @@
 				c.wantLine(io.EOF.Error())
 			}
 			if answers["UP"] == 0 || answers["UP"]+answers["BUSY"]+answers["ERR"] != 12 {
-				t.Errorf("answers %v", answers)
+				t.Errorf("answers %v, want 12 of UP, BUSY and ERR with at least one UP", answers)
 			}
 			checkAttemptCounter(t, s.attemptCounter)
 			s.stop()
@@ -124,7 +124,7 @@
 	}
 }
 
-// TestAllMembersFail: with no member that works a request still gets its final answer.
+// TestAllMembersFail: a request gets its final answer even if all members fail.
 func TestAllMembersFail(t *testing.T) {
 	s := newLineRig(t, 2, nil)
 	for _, b := range s.members {
@@ -132,13 +132,14 @@
 	}
 	c := s.openFlow(1, "")
 	if answer := c.line(); !strings.HasPrefix(answer, "BUSY") && answer != "ERR" {
-		t.Errorf("answer %q", answer)
+		t.Errorf("answered %q, want BUSY or ERR", answer)
 	}
 	c.wantLine(io.EOF.Error())
 	checkAttemptCounter(t, s.attemptCounter)
 }
 
-// TestSilentMember: a member that receives a request and does not answer must not keep it beyond the client's deadline.
+// TestSilentMember: a member that receives a request and never answers must not keep it beyond the
+// client's deadline. The client gets its final answer.
 func TestSilentMember(t *testing.T) {
 	s := newLineRig(t, 2, nil)
 	for _, b := range s.members {
@@ -146,12 +147,13 @@
 	}
 	c := s.openFlow(1, "")
 	if answer := c.line(); !strings.HasPrefix(answer, "BUSY") && answer != "ERR" {
-		t.Errorf("answer %q", answer)
+		t.Errorf("answered %q, want BUSY or ERR", answer)
 	}
 	checkAttemptCounter(t, s.attemptCounter)
 }
 
-// TestDrain: when a member drains, its clients are moved between two lines, and new ones go elsewhere.
+// TestDrain: when a member drains, its clients get MOVE between two lines, and new flows go to other
+// members.
 func TestDrain(t *testing.T) {
 	s := newLineRig(t, 3, nil)
 	flows := map[*fakeMember][]*client{}
@@ -169,11 +171,11 @@
 		c.wantLine("MOVE")
 		c.wantLine(io.EOF.Error())
 	}
-	waitFor(t, "the member to be left", func() bool { return drained.OpenFlows() == 0 })
+	waitFor(t, "the draining member to have no flows", func() bool { return drained.OpenFlows() == 0 })
 	for n := range 12 {
 		c := s.openFlow(100+n, "")
 		if b := s.memberOfFlow(c.wantLine("UP ")); b == drained {
-			t.Error("sent to a draining member")
+			t.Errorf("request %d went to the draining member", 100+n)
 		}
 	}
 	for b, clients := range flows {
@@ -189,21 +191,21 @@
 	s.stop()
 }
 
-// TestResumeFlow: a client that resumes a flow goes to the member that has it.
+// TestResumeFlow: a client that resumes a flow is sent to the member that it names in the field at.
 func TestResumeFlow(t *testing.T) {
 	s := newLineRig(t, 3, nil)
 	for n, b := range s.members {
 		c := s.openFlow(n, ",at="+b.id)
 		if got := s.memberOfFlow(c.wantLine("UP ")); got != b {
-			t.Errorf("went to %s instead of %s", got.id, b.id)
+			t.Errorf("the flow went to %s, want %s", got.id, b.id)
 		}
 	}
 	c := s.openFlow(9, ",at=s-ffffffff")
 	c.wantLine("ERR")
 }
 
-// TestTerminate: on SIGTERM every client with an open flow gets MOVE, new requests are answered, a front sees that the relay is
-// not ready, and the program exits.
+// TestTerminate: on a signal to end, each client with an open flow gets MOVE, new requests are rejected,
+// PING is answered ERR, and the program exits without an error.
 func TestTerminate(t *testing.T) {
 	s := newLineRig(t, 2, nil)
 	flows := s.openFlows(10)
@@ -219,24 +221,25 @@
 	late.wantLine(io.EOF.Error())
 	wantMoved(flows...)
 	if err := <-s.done; err != nil {
-		t.Errorf("ended with %v", err)
+		t.Errorf("the relay ended with %v, want exit code 0", err)
 	}
 	checkAttemptCounter(t, s.attemptCounter)
 }
 
-// TestConnectionEnds: an end is answered in its manner, politely or by a reset, both ways.
+// TestConnectionEnds: when one side of a flow ends its connection, the relay ends the other side in the
+// same manner: by an orderly close or by a reset.
 func TestConnectionEnds(t *testing.T) {
 	s := newLineRig(t, 1, nil)
 	b := s.members[0]
 	c := s.openFlow(1, "")
 	c.wantLine("UP ")
 	c.Conn.(*net.TCPConn).CloseWrite()
-	waitFor(t, "the member's end", func() bool { return b.OpenFlows() == 0 })
+	waitFor(t, "the flow at the member to end", func() bool { return b.OpenFlows() == 0 })
 	c = s.openFlow(2, "")
 	c.wantLine("UP ")
 	b.EachConnection(func(m net.Conn) { m.(*net.TCPConn).SetLinger(0); m.Close() })
 	if end := c.line(); !strings.Contains(end, "reset") {
-		t.Errorf("a member's reset reached the client as %q", end)
+		t.Errorf("the client read %q after a reset by the member, want a reset", end)
 	}
 	c = s.openFlow(3, "")
 	c.wantLine("UP ")
@@ -246,15 +249,15 @@
 	c.wantLine("UP ")
 	c.Conn.(*net.TCPConn).SetLinger(0)
 	c.Close()
-	waitFor(t, "the member's end", func() bool { return b.OpenFlows() == 0 })
+	waitFor(t, "the flow at the member to end", func() bool { return b.OpenFlows() == 0 })
 	s.stop()
 }
 
-// TestDiscoveryLoss: while discovery is down the relay serves from its cached list and goes on polling; once discovery is back,
-// changes arrive.
+// TestDiscoveryLoss: while discovery is down the relay serves from its cached endpoint list and keeps
+// polling; when discovery is back, changes are delivered.
 func TestDiscoveryLoss(t *testing.T) {
 	s := newLineRig(t, 2, nil)
-	waitFor(t, "the first watch", func() bool { return s.d.Calls() > 0 })
+	waitFor(t, "the first call to discovery", func() bool { return s.d.Calls() > 0 })
 	s.d.SetDown(true)
 	s.waitLogged("discovery call failed")
 	c := s.openFlow(1, "")
@@ -266,9 +269,10 @@
 	s.stop()
 }
 
-// TestReload: on SIGHUP the file is read again. One that cannot be used changes nothing; settings that need a restart are
-// named; discovery's new address takes over with every flow open, also when a second SIGHUP comes before the first new address
-// has answered. Guards against SIGHUP ending the program.
+// TestReload guards against a SIGHUP that ends the program or loses flows. On SIGHUP the relay reads its
+// configuration file again. An invalid file changes nothing, and settings that need a restart are logged.
+// The relay switches to a new discovery address with every flow open, also if a second SIGHUP comes
+// before the first new address has answered.
 func TestReload(t *testing.T) {
 	s := newLineRig(t, 3, nil)
 	c := s.openFlow(1, "")
@@ -282,7 +286,7 @@
 	s.reload(s.d.addr, silent.Addr().String())
 	s.waitLogged("discovery=\"" + silent.Addr().String())
 	drained := s.members[0]
-	if drained == b { // that flow is to stay
+	if drained == b { // the flow at b must stay open
 		drained = s.members[1]
 	}
 	var list []member
@@ -298,7 +302,7 @@
 	waitFor(t, "a watch at the new address", func() bool { return next.Calls() > 1 })
 	for n := range 12 {
 		if s.memberOfFlow(s.openFlow(100+n, "").wantLine("UP ")) == drained {
-			t.Error("sent to a member that the new address says is draining")
+			t.Errorf("request %d went to a member that is draining by the list at the new address", 100+n)
 		}
 	}
 	next.SetLifecycle(b.id, "DRAINING")
@@ -308,7 +312,8 @@
 	s.stop()
 }
 
-// TestBadInput: an invalid first line gets an error answer and never reaches a member; the relay goes on.
+// TestBadInput: an invalid first line is answered ERR and never reaches a member, and the relay goes on
+// serving.
 func TestBadInput(t *testing.T) {
 	s := newLineRig(t, 1, nil)
 	for _, first := range []string{
@@ -334,26 +339,27 @@
 		c := s.dial()
 		io.WriteString(c, first+"\r\n")
 		if answer := c.line(); answer != "ERR" {
-			t.Errorf("%.60q was answered %q", first, answer)
+			t.Errorf("first line %.60q was answered %q, want ERR", first, answer)
 		}
 	}
 	s.openFlow(1, "").wantLine("UP ")
 	if lines := s.members[0].firstLines(); len(lines) != 1 {
-		t.Errorf("members got %q", lines)
+		t.Errorf("the member got the first lines %q, want one", lines)
 	}
 	s.stop()
 }
 
-// TestBadConfig: a configuration that cannot be used ends with a plain error.
+// TestBadConfig: with an invalid configuration, serve and check end with an error message and no stack
+// trace.
 func TestBadConfig(t *testing.T) {
 	dir := t.TempDir()
 	for name, text := range map[string]string{
-		"no JSON":     `{"name":`,
-		"no settings": `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1"}`,
-		"no address":  `{"listen":"here","discovery":"127.0.0.1:1","settings":` + settingsText + `}`,
-		"no classes":  `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":{}}`,
-		"odd list":    `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","known":{"instances":7},"settings":` + settingsText + `}`,
-		"odd seed":    `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"q","settings":` + settingsText + `}`,
+		"invalid JSON":           `{"name":`,
+		"no settings":            `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1"}`,
+		"invalid listen address": `{"listen":"here","discovery":"127.0.0.1:1","settings":` + settingsText + `}`,
+		"no classes":             `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":{}}`,
+		"invalid endpoint list":  `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","known":{"instances":7},"settings":` + settingsText + `}`,
+		"invalid seed":           `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"q","settings":` + settingsText + `}`,
 	} {
 		t.Run(name, func(t *testing.T) {
 			path := filepath.Join(dir, "config.json")
@@ -363,18 +369,18 @@
 			for _, sub := range []string{"serve", "check"} {
 				out, err := runCommand(sub, "--config", path)
 				if err == nil || !strings.Contains(out, "invalid configuration") || strings.Contains(out, "goroutine") {
-					t.Errorf("%s: %v, %s", sub, err, out)
+					t.Errorf("%s: error %v, output %q, want an error and the text \"invalid configuration\"", sub, err, out)
 				}
 			}
 		})
 	}
 	if out, err := runCommand("version"); err != nil || !strings.HasPrefix(out, "dahliarudder ") {
-		t.Errorf("version: %s, %v", out, err)
+		t.Errorf("version: output %q, error %v", out, err)
 	}
 }
 
-// TestDescriptorLimit: with few descriptors left, clients are rejected before accepting or
-// connecting fails, and the relay recovers when they go.
+// TestDescriptorLimit: when few descriptors are left, the relay rejects clients before accept or connect
+// fails, and it accepts requests again when clients leave.
 func TestDescriptorLimit(t *testing.T) {
 	s := newLineRig(t, 1, map[string]any{"limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": 100}})
 	var clients []*client
@@ -388,23 +394,24 @@
 		case strings.HasPrefix(answer, "BUSY "):
 			busy++
 		default:
-			t.Fatalf("answer %q", answer)
+			t.Fatalf("answered %q, want UP or BUSY", answer)
 		}
 	}
 	if up == 0 || busy == 0 {
-		t.Errorf("%d up, %d busy", up, busy)
+		t.Errorf("%d requests accepted and %d rejected, want some of each", up, busy)
 	}
 	for _, c := range clients {
 		c.Close()
 	}
-	waitFor(t, "the flows' end", func() bool { return s.members[0].OpenFlows() == 0 })
+	waitFor(t, "all flows at the member to end", func() bool { return s.members[0].OpenFlows() == 0 })
 	n := 1000
-	waitFor(t, "room", func() bool { n++; return strings.HasPrefix(s.openFlow(n, "").line(), "UP ") })
+	waitFor(t, "a request to be accepted", func() bool { n++; return strings.HasPrefix(s.openFlow(n, "").line(), "UP ") })
 	s.stop()
 }
 
-// TestIdleConnectionFlood: more connections than there are descriptors, which send nothing or one PING and stay, do not keep
-// usual clients out. Guards against a relay that keeps them until its descriptors are exhausted.
+// TestIdleConnectionFlood guards against idle connections that exhaust the descriptors. More clients
+// connect than there are descriptors; they send nothing, or one PING, and stay. Requests of other clients
+// must be served all the same.
 func TestIdleConnectionFlood(t *testing.T) {
 	s := newLineRig(t, 1, map[string]any{"limits": map[string]any{"cores": 1, "memory_mb": 32, "sockets": 100}})
 	flow := s.openFlow(1, "")
@@ -424,15 +431,15 @@
 	s.stop()
 }
 
-// TestCounts: with counts_ms each relay logs what it counted in each span, and the
-// spans add up to what happened.
+// TestCounts: with counts_ms set, the relay logs its counts at that interval, and their sum over the
+// intervals is what happened.
 func TestCounts(t *testing.T) {
 	s := newLineRig(t, 2, map[string]any{"counts_ms": 100})
 	for n := range 5 {
 		s.openFlow(n, "").wantLine("UP ")
 	}
 	countsLine := regexp.MustCompile(`msg=counts at=[0-9.]+ attempts=\d+ barred=\d+ failed=\d+ left=\d+ moves=\d+ rejected=\d+ requests=(\d+)`)
-	waitFor(t, "five requests counted", func() bool {
+	waitFor(t, "the logged counts to add up to five requests", func() bool {
 		n := 0
 		for _, m := range countsLine.FindAllStringSubmatch(s.relay.log.String(), -1) {
 			k, _ := strconv.Atoi(m[1])
--- a/integration/linking_test.go
+++ b/integration/linking_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// TestDynamicLinking guards against a relay that is no longer linked against the C library: what the platform preloads into the
-// process would silently not be loaded.
+// TestDynamicLinking guards against a program that is not linked against the C library: libraries that the
+// platform preloads into the process would then silently not be loaded.
 func TestDynamicLinking(t *testing.T) {
 	f, err := elf.Open(program)
 	if err != nil {
@@ -20,7 +20,7 @@
 	}
 	libraries, err := f.ImportedLibraries()
 	if err != nil || !strings.Contains(strings.Join(libraries, " "), "libc.so") {
-		t.Errorf("linked against %v, %v", libraries, err)
+		t.Errorf("ImportedLibraries() = %v, %v, want libc.so among them", libraries, err)
 	}
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
@@ -28,7 +28,7 @@
 	}
 	for _, part := range []string{"CGO_ENABLED=1", "-ldflags=-linkmode=external", `run = "exec `} {
 		if !strings.Contains(string(deploy), part) {
-			t.Errorf("the deploy file lacks %s", part)
+			t.Errorf("deploy/balancer.toml does not contain %q", part)
 		}
 	}
 }
