--- a/integration/operator_test.go
+++ b/integration/operator_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// newOperatorRig is a site whose relay has a second address.
+// newOperatorRig returns a lineRig whose relay also listens for operator calls.
 func newOperatorRig(t *testing.T, members int, extra map[string]any) *lineRig {
 	t.Helper()
 	all := map[string]any{"operator": "127.0.0.1:0"}
@@ -19,16 +19,17 @@
 	return newLineRig(t, members, all)
 }
 
-// TestOperatorEjection: an ejected member gets nothing more and its clients move, also when discovery lists it again and after
-// SIGHUP; a second ejection changes nothing, one reinstatement undoes both, and the member is used again.
+// TestOperatorEjection: an ejected member gets no new requests and its clients are moved. This holds when
+// discovery lists the member again and after SIGHUP. A second ejection changes nothing, and one
+// reinstatement is enough for the member to be used again.
 func TestOperatorEjection(t *testing.T) {
 	s := newOperatorRig(t, 2, nil)
 	if code := s.call("GET", "/-/ready"); code != 200 {
-		t.Errorf("ready: %d", code)
+		t.Errorf("GET /-/ready: status %d, want 200", code)
 	}
 	for _, path := range []string{"/-/backends/s-00000000/disable", "/-/backends/s-00000000/enable"} {
 		if code := s.call("PUT", path); code != 404 {
-			t.Errorf("%s: %d", path, code)
+			t.Errorf("PUT %s of an unknown member: status %d, want 404", path, code)
 		}
 	}
 	c := s.openFlow(1, "")
@@ -44,16 +45,16 @@
 	before := len(b.firstLines())
 	for n := range 20 {
 		if s.memberOfFlow(s.openFlow(100+n, "").wantLine("UP ")) == b {
-			t.Fatal("sent to a member that was taken out")
+			t.Fatalf("request %d went to the ejected member", 100+n)
 		}
 	}
 	s.openFlow(200, ",at="+b.id).wantLine("BUSY")
 	if len(b.firstLines()) != before {
-		t.Error("the member got something new")
+		t.Error("the ejected member got a new first line")
 	}
 	s.mustPut("/-/backends/" + b.id + "/enable")
 	n := 300
-	waitFor(t, "the member to be used again", func() bool {
+	waitFor(t, "the reinstated member to be used", func() bool {
 		n++
 		return s.memberOfFlow(s.openFlow(n, "").wantLine("UP ")) == b
 	})
@@ -61,8 +62,8 @@
 	s.stop()
 }
 
-// TestOperatorDrain: a drained relay reports that to the front at once, serves what still arrives and moves everyone; resumed,
-// it accepts clients and keeps them.
+// TestOperatorDrain: a drained relay answers PING with ERR at once, serves requests that still arrive, and
+// moves all its clients. After a resume it accepts clients and keeps them.
 func TestOperatorDrain(t *testing.T) {
 	s := newOperatorRig(t, 2, nil)
 	flows := s.openFlows(6)
@@ -74,7 +75,7 @@
 	late.wantLine("UP ")
 	wantMoved(append(flows, late)...)
 	if code := s.call("GET", "/-/ready"); code != 200 {
-		t.Errorf("ready while drained: %d", code)
+		t.Errorf("GET /-/ready while drained: status %d, want 200", code)
 	}
 	s.mustPut("/-/resume")
 	front.send("PING")
@@ -87,8 +88,8 @@
 	s.stop()
 }
 
-// TestOperatorSlowCallers: idle callers keep neither operators nor clients out, also when clients have every descriptor they
-// may have.
+// TestOperatorSlowCallers guards against idle connections to the operator's address that block operator
+// calls or clients, also when clients use all descriptors that they may have.
 func TestOperatorSlowCallers(t *testing.T) {
 	s := newOperatorRig(t, 1, map[string]any{"limits": map[string]any{"cores": 1, "memory_mb": 32, "sockets": 100}})
 	for range 100 {
@@ -103,13 +104,14 @@
 		fmt.Fprint(c, "PUT /-/drain HT")
 	}
 	if code := s.call("GET", "/-/ready"); code != 200 {
-		t.Errorf("ready: %d", code)
+		t.Errorf("GET /-/ready: status %d, want 200", code)
 	}
 	s.openFlow(1, "").wantLine("UP ")
 	s.stop()
 }
 
-// TestOperatorTornState: a file that an earlier process left half-written prevents no start, and ejections can be stored again.
+// TestOperatorTornState: an ejection file that is only half written does not prevent a start, and
+// ejections can be stored again.
 func TestOperatorTornState(t *testing.T) {
 	s := newOperatorRig(t, 2, nil)
 	id := s.members[0].id
@@ -118,7 +120,7 @@
 	<-s.done
 	stored, _ := filepath.Glob(filepath.Join(filepath.Dir(s.configPath), "dahliarudder-*", "bans.json"))
 	if len(stored) != 1 {
-		t.Fatalf("kept in %v", stored)
+		t.Fatalf("ejection files: %v, want one", stored)
 	}
 	second := start(t, s.configPath, 2)
 	second.waitLogged("msg=ejected member=" + id)
@@ -129,7 +131,7 @@
 	third.waitLogged("no ejection is in force")
 	third.mustPut("/-/backends/" + id + "/disable")
 	if text, err := os.ReadFile(stored[0]); err != nil || string(text) != `["`+id+`"]` {
-		t.Errorf("kept %q, %v", text, err)
+		t.Errorf("ejection file = %q, %v, want the ejected member %s", text, err, id)
 	}
 	third.stop()
 }
--- a/integration/pushed_lists_test.go
+++ b/integration/pushed_lists_test.go
@@ -9,12 +9,12 @@
 	"dahliarudder/internal/fakes"
 )
 
-// pushedListSettings are the settings used here with pushed lists: an agent beside the relay has the lists, and what it has counts as
-// delivered, whether or not a watch is open.
+// pushedListSettings are the settings for pushed endpoint lists: an agent on the relay's host receives
+// the lists, and every change counts as delivered once the agent has it, even if no watch is open.
 var pushedListSettings = json.RawMessage(strings.Replace(settingsText, `"discovery":"subscribe"`, `"discovery":"automatic"`, 1))
 
-// newPushedListRig is a relay among members that answer by themselves; the first one's lifecycle is listed by an agent, and the
-// relay's own last list does not have it.
+// newPushedListRig returns a relay with members that accept all attempts. The agent lists the first member
+// with the given lifecycle; the last list in the relay's configuration has it as serving.
 func newPushedListRig(t *testing.T, lifecycle string) *scriptedRig {
 	t.Helper()
 	s := &scriptedRig{}
@@ -31,7 +31,8 @@
 	return s
 }
 
-// wantFirstMemberUnused opens requests, none of which may go to the first member any more once the grace is over.
+// wantFirstMemberUnused waits until the grace is over, sends requests, and checks that none reaches the
+// first member.
 func (s *scriptedRig) wantFirstMemberUnused(from int) {
 	s.t.Helper()
 	time.Sleep(drainGrace + socketTolerance)
@@ -42,32 +43,32 @@
 		c.Close()
 	}
 	if sent := len(s.members[0].arrivals()) - before; sent > 0 {
-		s.t.Errorf("%d requests went to a member that drains", sent)
+		s.t.Errorf("%d requests went to the draining member, want 0", sent)
 	}
 }
 
-// TestPushedEndpointLists: where lists are pushed, what the agent has counts at once: from the first moment of a process, while it
-// runs, as the agent comes back after an outage, and after a watch was cut off.
+// TestPushedEndpointLists: with pushed lists, a change must take effect as soon as the agent has it: when a
+// process starts, while it runs, and when the agent returns after an outage.
 func TestPushedEndpointLists(t *testing.T) {
 	t.Parallel()
-	t.Run("from the first moment", func(t *testing.T) {
+	t.Run("at start", func(t *testing.T) {
 		t.Parallel()
 		newPushedListRig(t, "DRAINING").wantFirstMemberUnused(100)
 	})
-	t.Run("while it runs", func(t *testing.T) {
+	t.Run("while running", func(t *testing.T) {
 		t.Parallel()
 		s := newPushedListRig(t, "SERVING")
-		waitFor(t, "a watch", func() bool { return s.d.Calls() > 1 })
+		waitFor(t, "a watch at discovery", func() bool { return s.d.Calls() > 1 })
 		s.d.SetLifecycle(s.members[0].id, "DRAINING")
 		s.wantFirstMemberUnused(100)
 	})
 	t.Run("after an outage", func(t *testing.T) {
 		t.Parallel()
 		s := newPushedListRig(t, "SERVING")
-		waitFor(t, "a watch", func() bool { return s.d.Calls() > 1 })
+		waitFor(t, "a watch at discovery", func() bool { return s.d.Calls() > 1 })
 		s.d.SetDown(true)
 		calls := s.d.Calls()
-		waitFor(t, "failures in a row", func() bool { return s.d.Calls() > calls+8 })
+		waitFor(t, "several failed calls to discovery", func() bool { return s.d.Calls() > calls+8 })
 		s.d.SetLifecycle(s.members[0].id, "DRAINING")
 		s.d.SetDown(false)
 		s.wantFirstMemberUnused(100)
--- a/integration/ready_test.go
+++ b/integration/ready_test.go
@@ -8,19 +8,19 @@
 	"time"
 )
 
-// readyLimit is within which nine in ten restarted relays have to be ready.
+// readyLimit is the time within which nine of ten restarted relays must be ready.
 const readyLimit = 10 * time.Second
 
-// TestReadyInTime: relays that return while discovery is down, slow, crowded or silent, or while their state cannot be read,
-// are all ready in time, with their last list; and they serve.
+// TestReadyInTime: relays that restart while discovery is down, slow, silent or closed, or while their
+// snapshot is damaged, must be ready in time with the list from their configuration, and serve requests.
 func TestReadyInTime(t *testing.T) {
 	t.Parallel()
 	for name, impair := range map[string]func(t *testing.T, d *discovery, dir string){
-		"down": func(_ *testing.T, d *discovery, _ string) { d.SetDown(true) },
-		"slow": func(_ *testing.T, d *discovery, _ string) { d.SetAnswerDelay(2 * time.Second) },
-		"mute": func(_ *testing.T, d *discovery, _ string) { d.SetAnswerDelay(time.Hour) },
-		"gone": func(_ *testing.T, d *discovery, _ string) { d.Close() },
-		"state": func(t *testing.T, _ *discovery, dir string) {
+		"down":   func(_ *testing.T, d *discovery, _ string) { d.SetDown(true) },
+		"slow":   func(_ *testing.T, d *discovery, _ string) { d.SetAnswerDelay(2 * time.Second) },
+		"silent": func(_ *testing.T, d *discovery, _ string) { d.SetAnswerDelay(time.Hour) },
+		"closed": func(_ *testing.T, d *discovery, _ string) { d.Close() },
+		"damaged snapshot": func(t *testing.T, _ *discovery, dir string) {
 			writeFile(t, filepath.Join(dir, "snapshot"), "half of one")
 		},
 	} {
@@ -38,7 +38,7 @@
 			startedAt := time.Now()
 			for n := range relays {
 				more := map[string]any{"name": fmt.Sprint("n", n)}
-				if name == "state" {
+				if name == "damaged snapshot" {
 					more["state"] = map[string]any{"dir": dir}
 				}
 				all = append(all, launch(t, configure(t, d, more)))
@@ -55,7 +55,7 @@
 				r.openFlow(n, "").wantLine("UP ")
 			}
 			if slow > relays/10 {
-				t.Errorf("%d of %d relays took over %v", slow, relays, readyLimit)
+				t.Errorf("%d of %d relays were ready after more than %v, want at most %d", slow, relays, readyLimit, relays/10)
 			}
 		})
 	}
--- a/integration/short_deadlines_test.go
+++ b/integration/short_deadlines_test.go
@@ -11,7 +11,8 @@
 	"time"
 )
 
-// withDeadlines are the settings used here with other deadlines of the two classes, and aims to match.
+// withDeadlines returns the settings with other deadlines for the two classes, and target latencies of a
+// quarter of them.
 func withDeadlines(first, second time.Duration) json.RawMessage {
 	return json.RawMessage(strings.NewReplacer(
 		`"aim-ms":500,"deadline-ms":3000`, fmt.Sprintf(`"aim-ms":%d,"deadline-ms":%d`, first.Milliseconds()/4, first.Milliseconds()),
@@ -19,9 +20,10 @@
 	).Replace(settingsText))
 }
 
-// TestStopShortDeadlines: with short deadlines SIGKILL may come soon after SIGTERM. Until then clients go on sending on open
-// connections, members hang, some in the middle of a line, and signals come in series. Every client has its MOVE or its answer,
-// and the process has ended, before that.
+// TestStopShortDeadlines: SIGKILL comes a fixed time after the longest deadline, so with short deadlines
+// a shutdown has little time. During it clients keep writing on open flows, members hang, some in the
+// middle of a line, and further signals arrive. Every client must get MOVE or its answer, and the
+// process must end, before SIGKILL.
 func TestStopShortDeadlines(t *testing.T) {
 	for _, longest := range []time.Duration{600 * time.Millisecond, time.Second, 2 * time.Second} {
 		t.Run(longest.String(), func(t *testing.T) {
@@ -34,7 +36,7 @@
 				a := s.nextAttempt()
 				a.accept()
 				c.wantLine("UP ")
-				if n%4 == 3 { // its member hangs in the middle of a line, for good
+				if n%4 == 3 { // the member of this flow hangs for good in the middle of a line
 					a.write("GOT ha")
 					if _, err := io.ReadFull(c.in, make([]byte, len("GOT ha"))); err != nil {
 						t.Fatal(err)
@@ -45,7 +47,7 @@
 				}
 			}
 			var unanswered []*client
-			for n := range 4 { // of these no member says a word
+			for n := range 4 { // no member answers these
 				unanswered = append(unanswered, s.openWithDeadline(100+n, longest))
 				s.nextAttempt()
 			}
@@ -72,20 +74,20 @@
 			}
 			for _, c := range unanswered {
 				if answer := c.line(); !strings.HasPrefix(answer, "BUSY") && answer != "ERR" {
-					t.Errorf("a held request got %q", answer)
+					t.Errorf("an unanswered request got %q, want BUSY or ERR", answer)
 				}
 			}
-			for _, c := range hung { // between two lines MOVE has no place: a polite end is all there is
+			for _, c := range hung { // MOVE cannot be sent in the middle of a line, so only an orderly close remains
 				if line := c.line(); line != io.EOF.Error() {
-					t.Errorf("amid a line came %q", line)
+					t.Errorf("a flow in the middle of a line got %q, want an orderly close", line)
 				}
 			}
 			s.waitExit()
 			took := time.Since(since)
-			t.Logf("gone %v after SIGTERM", took.Round(time.Millisecond))
+			t.Logf("the process ended %v after SIGTERM", took.Round(time.Millisecond))
 			writers.Wait()
 			if took > longest+killMargin {
-				t.Errorf("the process ended %v after SIGTERM, killed after %v", took, longest+killMargin)
+				t.Errorf("the process ended %v after SIGTERM, want at most %v", took, longest+killMargin)
 			}
 			s.checkAttempts()
 		})
--- a/integration/state_dir_test.go
+++ b/integration/state_dir_test.go
@@ -9,11 +9,11 @@
 	"testing"
 )
 
-// fullDisk is a file of the system that has no room: each write to it fails as on a disk that is full.
+// fullDisk is a device on which each write fails with ENOSPC, as on a full disk.
 const fullDisk = "/dev/full"
 
-// TestStateDirFull: a state directory is full for a while: clients are served, the last complete state stays and is what the
-// nextCalls process restores, and the log reports the failure and its end, once each.
+// TestStateDirFull: the state directory is full for a while. Clients are served, the last complete snapshot
+// stays and is restored by the next process, and the log reports the failure and its end once each.
 func TestStateDirFull(t *testing.T) {
 	t.Parallel()
 	b := newFakeMember(t, "s-00000001", nil)
@@ -34,29 +34,29 @@
 	wantLogCount := func(text string, n int) {
 		t.Helper()
 		if got := strings.Count(r.log.String(), text); got != n {
-			t.Errorf("%q is told %d times, want %d", text, got, n)
+			t.Errorf("the log contains %q %d times, want %d", text, got, n)
 		}
 	}
 	before := readSnapshot()
-	if err := os.Symlink(fullDisk, path+".new"); err != nil { // for one write: the relay clears away what that has left
+	if err := os.Symlink(fullDisk, path+".new"); err != nil { // one write fails, and the relay then removes the temporary file, here the link
 		t.Fatal(err)
 	}
 	r.waitLogged(recovered)
 	wantLogCount(failed, 1)
 	wantLogCount(recovered, 1)
-	waitFor(t, "the next whole state", func() bool { return !bytes.Equal(readSnapshot(), before) })
+	waitFor(t, "the next complete snapshot", func() bool { return !bytes.Equal(readSnapshot(), before) })
 
-	if err := os.MkdirAll(filepath.Join(path+".new", "in the way"), 0o700); err != nil { // for all that follow
+	if err := os.MkdirAll(filepath.Join(path+".new", "in the way"), 0o700); err != nil { // all later writes fail
 		t.Fatal(err)
 	}
-	waitFor(t, "the trouble", func() bool { return strings.Count(r.log.String(), failed) == 2 })
+	waitFor(t, "the second failed write in the log", func() bool { return strings.Count(r.log.String(), failed) == 2 })
 	before = readSnapshot()
 	r.openFlow(1, "").wantLine("UP ")
 	r.cmd.Process.Signal(syscall.SIGKILL)
 	<-r.done
 	wantLogCount(recovered, 1)
 	if !bytes.Equal(readSnapshot(), before) {
-		t.Error("the last whole state is another one")
+		t.Error("the last complete snapshot has changed while writes failed")
 	}
 	next := start(t, config, 2)
 	next.waitLogged("restored from the snapshot")
--- a/integration/suspend_test.go
+++ b/integration/suspend_test.go
@@ -12,14 +12,15 @@
 	"time"
 )
 
-// TestSuspended: a relay was suspended for longer than its calls wait, while most of its members began to drain. What has
-// arrived meanwhile is read before anything counts as overdue, and nothing is forwarded by the outdated list: not to a member
-// that discovery has listed as draining, neither for waiting requests nor for new ones.
+// TestSuspended guards against a relay that acts on an outdated list after a suspension. The process is
+// suspended for longer than its calls to discovery may take, while most of its members begin to drain.
+// After it continues it must read what has arrived before it treats a call as timed out, and it must not
+// forward any request, waiting or new, to a member that discovery lists as draining.
 func TestSuspended(t *testing.T) {
 	s := newLineRig(t, 6, nil)
 	s.openFlows(6)
 	s.cmd.Process.Signal(syscall.SIGSTOP)
-	time.Sleep(4500 * time.Millisecond) // the call that was out has its answer
+	time.Sleep(4500 * time.Millisecond) // the call to discovery in progress has been answered
 	for _, b := range s.members[1:] {
 		s.d.SetLifecycle(b.id, "DRAINING")
 	}
@@ -27,7 +28,7 @@
 	for i, b := range s.members {
 		before[i] = len(b.firstLines())
 	}
-	time.Sleep(2500 * time.Millisecond) // longer than a call to discovery waits
+	time.Sleep(2500 * time.Millisecond) // longer than the timeout of a call to discovery
 	var all []*client
 	for n := range 12 {
 		c := s.dial()
@@ -37,26 +38,26 @@
 	s.cmd.Process.Signal(syscall.SIGCONT)
 	for _, c := range all {
 		if line := c.line(); !strings.HasPrefix(line, "UP "+s.members[0].id+"/") && !strings.HasPrefix(line, "BUSY") {
-			t.Errorf("answered %q", line)
+			t.Errorf("answered %q, want UP from %s or BUSY", line, s.members[0].id)
 		}
 	}
 	for i, b := range s.members[1:] {
 		if lines := b.firstLines(); len(lines) > before[i+1] {
-			t.Errorf("%d new requests at %s, which drains", len(lines)-before[i+1], b.id)
+			t.Errorf("%d new requests went to the draining member %s, want 0", len(lines)-before[i+1], b.id)
 		}
 	}
 	if strings.Contains(s.log.String(), "discovery call failed") {
-		t.Error("an answer that had come was held for missing")
+		t.Error("the relay logged a failed call to discovery, although its answer had arrived")
 	}
 	checkAttemptCounter(t, s.attemptCounter)
 }
 
-// TestSnapshotRestore: a relay that is killed continues from its snapshot: what it reports as restored, where the list is from
-// while discovery is down and its configuration has none; and a snapshot that is torn, another relay's or in an unreadable
-// directory never prevents a start.
+// TestSnapshotRestore: a relay that was killed continues from its snapshot, which supplies the endpoint
+// list while discovery is down and the configuration has none. A snapshot that is truncated, belongs to
+// another relay or is in an unusable directory must not prevent a start.
 func TestSnapshotRestore(t *testing.T) {
 	s := newLineRig(t, 3, map[string]any{"operator": "127.0.0.1:0", "state": map[string]any{"dir": "state", "every_ms": 1000}, "known": nil})
-	waitFor(t, "the list", func() bool { return s.call("GET", "/-/ready") == 200 })
+	waitFor(t, "the relay to be ready", func() bool { return s.call("GET", "/-/ready") == 200 })
 	s.openFlows(3)
 	snapshotPath := filepath.Join(filepath.Dir(s.configPath), "state", "snapshot")
 	waitFor(t, "a snapshot", func() bool { _, err := os.Stat(snapshotPath); return err == nil })
@@ -75,7 +76,7 @@
 	}
 	next := start(t, s.configPath, 2)
 	if text := recoveryText(next); !strings.Contains(text, `"from": "snapshot"`) {
-		t.Errorf("came back %s", text)
+		t.Errorf("GET /-/recovery = %s, want a restore from the snapshot", text)
 	}
 	next.openFlow(50, "").wantLine("UP ")
 	next.cmd.Process.Kill()
@@ -100,9 +101,9 @@
 		prepare()
 		r := start(t, s.configPath, 2)
 		if text := recoveryText(r); !strings.Contains(text, `"from": "nothing"`) || !strings.Contains(text, `"why"`) {
-			t.Errorf("%s: came back %s", name, text)
+			t.Errorf("snapshot %s: GET /-/recovery = %s, want nothing restored and a reason", name, text)
 		}
-		waitFor(t, "the list", func() bool { return r.call("GET", "/-/ready") == 200 })
+		waitFor(t, "the relay to be ready", func() bool { return r.call("GET", "/-/ready") == 200 })
 		r.openFlow(60, "").wantLine("UP ")
 		r.cmd.Process.Kill()
 		<-r.done
