--- a/integration/syscalls_test.go
+++ b/integration/syscalls_test.go
@@ -10,22 +10,52 @@
 	"dahliarudder/internal/fakes"
 )
 
-// faultPlans is the ways in which the relay's system calls fail for a while, all that Linux documents of them.
+// faultPlans are ways in which system calls of the relay fail, with errors that Linux documents for them.
 var faultPlans = map[string][]callFault{
-	"none":         nil,
-	"accept":       {{Call: "Accept", Errno: "ENFILE", Part: 0.5}, {Call: "Accept", Errno: "ECONNABORTED", Part: 0.3}, {Call: "Accept", Errno: "EINTR", Part: 0.3}},
-	"accept never": {{Call: "Accept", Errno: "EMFILE"}},
-	"socket":       {{Call: "Socket", Errno: "ENOBUFS", Part: 0.5}, {Call: "Socket", Errno: "ENFILE", Part: 0.5}},
-	"connect":      {{Call: "Connect", Errno: "EADDRNOTAVAIL", Part: 0.5}, {Call: "Connect", Errno: "ENETUNREACH", Part: 0.5}, {Call: "Connect", Errno: "EINTR", Part: 0.5}},
-	"no way":       {{Call: "Connect", Errno: "ENETUNREACH"}},
-	"epoll":        {{Call: "EpollCtl", Errno: "ENOMEM", Part: 0.5}, {Call: "EpollWait", Errno: "EINTR", Part: 0.5}},
-	"bytes":        {{Call: "Read", Short: true}, {Call: "Write", Short: true}},
-	"no memory":    {{Call: "Read", Errno: "ENOMEM", Part: 0.3}, {Call: "Write", Errno: "ENOBUFS", Part: 0.3}, {Call: "Read", Errno: "EINTR", Part: 0.3}, {Call: "Write", Errno: "EAGAIN", Part: 0.3}},
-	"all together": {{Call: "Accept", Errno: "ENOBUFS", Part: 0.2}, {Call: "Socket", Errno: "EMFILE", Part: 0.2}, {Call: "Connect", Errno: "EADDRNOTAVAIL", Part: 0.2}, {Call: "EpollCtl", Errno: "ENOSPC", Part: 0.2}, {Call: "Read", Short: true, Part: 0.3}, {Call: "Write", Short: true, Part: 0.3}, {Call: "Read", Errno: "ENOBUFS", Part: 0.1}, {Call: "Write", Errno: "ENOMEM", Part: 0.1}, {Call: "EpollWait", Errno: "EINTR", Part: 0.3}},
+	"none": nil,
+	"accept": {
+		{Call: "Accept", Errno: "ENFILE", Probability: 0.5},
+		{Call: "Accept", Errno: "ECONNABORTED", Probability: 0.3},
+		{Call: "Accept", Errno: "EINTR", Probability: 0.3},
+	},
+	"accept always fails": {{Call: "Accept", Errno: "EMFILE"}},
+	"socket": {
+		{Call: "Socket", Errno: "ENOBUFS", Probability: 0.5},
+		{Call: "Socket", Errno: "ENFILE", Probability: 0.5},
+	},
+	"connect": {
+		{Call: "Connect", Errno: "EADDRNOTAVAIL", Probability: 0.5},
+		{Call: "Connect", Errno: "ENETUNREACH", Probability: 0.5},
+		{Call: "Connect", Errno: "EINTR", Probability: 0.5},
+	},
+	"connect always fails": {{Call: "Connect", Errno: "ENETUNREACH"}},
+	"epoll": {
+		{Call: "EpollCtl", Errno: "ENOMEM", Probability: 0.5},
+		{Call: "EpollWait", Errno: "EINTR", Probability: 0.5},
+	},
+	"short reads and writes": {{Call: "Read", Short: true}, {Call: "Write", Short: true}},
+	"read and write": {
+		{Call: "Read", Errno: "ENOMEM", Probability: 0.3},
+		{Call: "Write", Errno: "ENOBUFS", Probability: 0.3},
+		{Call: "Read", Errno: "EINTR", Probability: 0.3},
+		{Call: "Write", Errno: "EAGAIN", Probability: 0.3},
+	},
+	"all calls": {
+		{Call: "Accept", Errno: "ENOBUFS", Probability: 0.2},
+		{Call: "Socket", Errno: "EMFILE", Probability: 0.2},
+		{Call: "Connect", Errno: "EADDRNOTAVAIL", Probability: 0.2},
+		{Call: "EpollCtl", Errno: "ENOSPC", Probability: 0.2},
+		{Call: "Read", Short: true, Probability: 0.3},
+		{Call: "Write", Short: true, Probability: 0.3},
+		{Call: "Read", Errno: "ENOBUFS", Probability: 0.1},
+		{Call: "Write", Errno: "ENOMEM", Probability: 0.1},
+		{Call: "EpollWait", Errno: "EINTR", Probability: 0.3},
+	},
 }
 
-// TestSystemCalls: a relay's system calls fail for a while. Every request that is accepted meanwhile gets one final answer in
-// time, open flows stay, no member is blamed, and the first request after it is served by its first attempt.
+// TestSystemCalls: some system calls of the relay fail for a while. Every request accepted during that time
+// must get one final answer in time, open flows must stay, and no member must be considered faulty: the
+// first requests afterwards must each need only one attempt.
 func TestSystemCalls(t *testing.T) {
 	t.Parallel()
 	for name, plan := range faultPlans {
@@ -41,7 +71,7 @@
 			}
 			d := newDiscovery(t, list...)
 			r := newFaultyRelay(t, configure(t, d, nil), 1, 0)
-			waitFor(t, "the first watch", func() bool { return d.Calls() > 1 })
+			waitFor(t, "the first watch at discovery", func() bool { return d.Calls() > 1 })
 			descriptorsBefore := r.descriptors()
 			flows := r.openFlows(flowsBefore)
 			r.setFaults(0, plan...)
@@ -50,7 +80,7 @@
 			for n := range requestsDuring {
 				during = append(during, r.openFlow(100+n, ""))
 			}
-			if name == "accept never" || name == "no way" { // nothing of it goes by itself
+			if name == "accept always fails" || name == "connect always fails" { // no request is served before the faults end
 				time.Sleep(drainGrace)
 			} else {
 				for _, c := range during[:requestsDuring/2] {
@@ -64,7 +94,7 @@
 			for _, c := range during {
 				c.Close()
 			}
-			waitFor(t, "room at the members", func() bool {
+			waitFor(t, "the members to have only the first flows", func() bool {
 				openFlows := 0
 				for _, b := range all {
 					openFlows += b.OpenFlows()
@@ -78,11 +108,11 @@
 				flows = append(flows, c)
 			}
 			if attempts := firstLineCount(all) - sent; attempts != requestsAfter {
-				t.Errorf("%d attempts for %d requests after the trouble", attempts, requestsAfter)
+				t.Errorf("%d attempts for %d requests after the faults, want one each", attempts, requestsAfter)
 			}
 			for _, b := range all {
 				if len(b.firstLines()) == 0 {
-					t.Errorf("%s was never tried", b.id)
+					t.Errorf("member %s got no attempt, want at least one", b.id)
 				}
 			}
 			for _, c := range flows {
@@ -99,7 +129,8 @@
 	}
 }
 
-// wantAnswerInTime wants one final answer, in time; of a request that was answered already it wants nothing more.
+// wantAnswerInTime reads the final answer of a request and checks that it is the only one and in time. If
+// it has already been read it does nothing.
 func (c *client) wantAnswerInTime(sentAt time.Time) {
 	c.t.Helper()
 	if c.finalAnswer != "" {
@@ -112,14 +143,14 @@
 	case "BUSY", "ERR":
 		c.wantLine(io.EOF.Error())
 	default:
-		c.t.Errorf("answered %q", c.finalAnswer)
+		c.t.Errorf("answered %q, want UP, BUSY or ERR", c.finalAnswer)
 	}
 	if limit := 2900*time.Millisecond + lostAnswerDelay; took > limit {
-		c.t.Errorf("%q after %v", c.finalAnswer, took)
+		c.t.Errorf("answered %q after %v, want at most %v", c.finalAnswer, took, limit)
 	}
 }
 
-// firstLineCount is how many first lines have come to all of them.
+// firstLineCount returns how many first lines the members have received in total.
 func firstLineCount(all []*fakeMember) (n int) {
 	for _, b := range all {
 		n += len(b.firstLines())
--- a/integration/wall_clock_test.go
+++ b/integration/wall_clock_test.go
@@ -14,24 +14,25 @@
 	"time"
 )
 
-// faultyRelay is a relay that runs under a fault plan: its wall clock is stepped and its system calls fail as the test says. It
-// is the test program of cmd/dahliarudder, which runs as the relay; the built program has no switch for that.
+// faultyRelay is a relay that runs under a fault plan: the test can step its wall clock and make its system
+// calls fail. Its executable is the test binary of cmd/dahliarudder, which runs as the relay; the built
+// program cannot inject faults.
 type faultyRelay struct {
 	*relay
-	planPath   string
-	planNumber int
+	planPath   string // the file with the fault plan, which the relay reads repeatedly
+	planNumber int    // of the newest plan
 }
 
-// callFault is what befalls some of the relay's system calls.
+// callFault is a failure of some of the relay's system calls.
 type callFault struct {
-	Call  string  `json:"call"`
-	Errno string  `json:"errno"`
-	Short bool    `json:"short"`
-	Part  float64 `json:"part"`
-	Times int     `json:"times"`
+	Call        string  `json:"call"`  // field of netloop.Syscalls
+	Errno       string  `json:"errno"` // error to return, by name
+	Short       bool    `json:"short"` // Read and Write transfer one byte
+	Probability float64 `json:"part"`  // probability for each call; 0 means every call
+	MaxCount    int     `json:"times"` // how many calls fail; 0 means no limit
 }
 
-// faultyProgram builds that program, once.
+// faultyProgram builds the test binary of cmd/dahliarudder on its first call and returns its path.
 var faultyProgram = sync.OnceValues(func() (string, error) {
 	path := filepath.Join(filepath.Dir(program), "faulty")
 	out, err := exec.Command("go", "test", "-c", "-o", path, "dahliarudder/cmd/dahliarudder").CombinedOutput()
@@ -41,7 +42,7 @@
 	return path, err
 })
 
-// newFaultyRelay starts one whose clock is off by step, with no other fault yet.
+// newFaultyRelay starts a faulty relay whose wall clock is off by step, without other faults.
 func newFaultyRelay(t testing.TB, config string, fronts int, step time.Duration) *faultyRelay {
 	t.Helper()
 	path, err := faultyProgram()
@@ -55,6 +56,7 @@
 	return r
 }
 
+// writeFaults writes the next fault plan, and replaces the file in one step.
 func (r *faultyRelay) writeFaults(t testing.TB, step time.Duration, plan ...callFault) {
 	t.Helper()
 	r.planNumber++
@@ -70,14 +72,16 @@
 	}
 }
 
-// setFaults has the relay's clock be wrong by step, and its calls fail by the plan, from its return on.
+// setFaults replaces the fault plan: the wall clock is off by step and system calls fail as plan says. It
+// returns once the plan is in effect.
 func (r *faultyRelay) setFaults(step time.Duration, plan ...callFault) {
 	r.t.Helper()
 	r.writeFaults(r.t, step, plan...)
 	r.waitLogged(fmt.Sprintf("fault plan %d in effect", r.planNumber))
 }
 
-// TestStateAgeClockStepped: a relay that returns after a step of its wall clock treats its state as being as old as it really is.
+// TestStateAgeClockStepped guards against a snapshot age that depends on the wall clock: the clock is
+// stepped between two processes, and the second must report how old the snapshot really is.
 func TestStateAgeClockStepped(t *testing.T) {
 	t.Parallel()
 	for _, step := range []time.Duration{time.Hour, -time.Hour, 2 * time.Second, -2 * time.Second} {
@@ -99,7 +103,7 @@
 			}
 			minAge := time.Since(written.ModTime()) - socketTolerance
 			next := newFaultyRelay(t, config, 2, step)
-			maxAge := time.Since(written.ModTime()) + time.Second // which it may have taken from its making to the disk
+			maxAge := time.Since(written.ModTime()) + time.Second // a snapshot may reach the disk up to 1 s after it is taken
 			answer, err := http.Get("http://" + next.addrs["operator"] + "/-/recovery")
 			if err != nil {
 				t.Fatal(err)
@@ -114,7 +118,7 @@
 				t.Fatal(err)
 			}
 			if age := time.Duration(recovery.Age) * time.Millisecond; recovery.From != "snapshot" || age < minAge || age > maxAge {
-				t.Errorf("came back with %s; the state was %v to %v old", text, minAge, maxAge)
+				t.Errorf("GET /-/recovery = %s, want a snapshot aged %v to %v", text, minAge, maxAge)
 			}
 		})
 	}
