--- a/integration/crossing_upgrade_test.go
+++ b/integration/crossing_upgrade_test.go
@@ -46,7 +46,7 @@
 }
 
 // handoverSocketInode returns the inode of the socket on which a relay listens for its successor, 0 if
-// there is none. A process that begins to accept clients creates the socket anew.
+// there is none. A process that begins to accept clients creates the socket again.
 func (r *relay) handoverSocketInode() uint64 {
 	r.t.Helper()
 	paths, err := filepath.Glob(filepath.Join(filepath.Dir(r.configPath), "dahliarudder-*", "upgrade.sock"))
@@ -218,19 +218,19 @@
 func TestCrossingHandoverSuccessorKilledBeforeRequest(t *testing.T) {
 	t.Parallel()
 	s := newAllDrainingRig(t, 2)
-	idle, half, sent, front := s.dial(), s.dial(), s.dial(), s.dial()
+	idle, half, withRequest, front := s.dial(), s.dial(), s.dial(), s.dial()
 	line := firstLine(3, 2900*time.Millisecond) + "\r\n"
 	fmt.Fprint(half, line[:30])
 	front.send("PING")
 	front.wantLine("PONG") // the earlier connections have been accepted by now
 	next := s.suspendBothAtTakeover()
-	sent.send(firstLine(1, 2900*time.Millisecond))
+	withRequest.send(firstLine(1, 2900*time.Millisecond))
 	s.resume()
 	s.waitLogged("a successor serves")
 	s.waitLoopRound()
 	next.cmd.Process.Kill()
 	<-next.done
-	sent.wantLine("UP ")
+	withRequest.wantLine("UP ")
 	idle.send(firstLine(2, 2900*time.Millisecond))
 	idle.wantLine("UP ")
 	fmt.Fprint(half, line[30:])
@@ -350,15 +350,15 @@
 			pending := s.openFlow(50, "") // prevents the first process from ending
 			a := s.nextAttempt()
 			next := s.startSuccessor(2)
-			one, other := s.relay, next
+			earlier, later := s.relay, next
 			if !firstBeforeSuccessor {
-				one, other = next, s.relay
+				earlier, later = next, s.relay
 			}
 			since := time.Now()
-			one.cmd.Process.Signal(syscall.SIGTERM)
-			one.waitLogged("msg=stopping")
-			other.cmd.Process.Signal(syscall.SIGTERM)
-			other.waitLogged("msg=stopping")
+			earlier.cmd.Process.Signal(syscall.SIGTERM)
+			earlier.waitLogged("msg=stopping")
+			later.cmd.Process.Signal(syscall.SIGTERM)
+			later.waitLogged("msg=stopping")
 			for n := range 5 {
 				wantBusy(t, s, 100+n)
 			}
--- a/integration/crossing_waiting_test.go
+++ b/integration/crossing_waiting_test.go
@@ -24,7 +24,7 @@
 			c.wantLine("PONG")
 			s.d.SetAnswerDelay(eventTimeout) // without an answer, dispatch resumes only after the grace
 			s.suspend()
-			time.Sleep(longSuspension) // the process's clock goes on while it is suspended
+			time.Sleep(longSuspension) // time passes for the process while it is suspended
 			c.send(firstLine(1, 2900*time.Millisecond))
 			s.resume()
 			s.waitLogged("this process was suspended")
--- a/integration/ready_test.go
+++ b/integration/ready_test.go
@@ -37,11 +37,11 @@
 			impair(t, d, dir)
 			startedAt := time.Now()
 			for n := range relays {
-				more := map[string]any{"name": fmt.Sprint("n", n)}
+				extra := map[string]any{"name": fmt.Sprint("n", n)}
 				if name == "damaged snapshot" {
-					more["state"] = map[string]any{"dir": dir}
+					extra["state"] = map[string]any{"dir": dir}
 				}
-				all = append(all, launch(t, configure(t, d, more)))
+				all = append(all, launch(t, configure(t, d, extra)))
 			}
 			slow := 0
 			for n, r := range all {
--- a/integration/rig_test.go
+++ b/integration/rig_test.go
@@ -178,8 +178,8 @@
 	}
 	t.Cleanup(func() {
 		b.Kill()
-		if bad := b.invalidFirstLines(); len(bad) > 0 {
-			t.Errorf("member %s got invalid first lines: %q", id, bad)
+		if invalid := b.invalidFirstLines(); len(invalid) > 0 {
+			t.Errorf("member %s got invalid first lines: %q", id, invalid)
 		}
 	})
 	return b
@@ -196,8 +196,8 @@
 
 // invalidFirstLines returns the first lines received that are not valid.
 func (b *fakeMember) invalidFirstLines() []string {
-	_, bad := b.FirstLines()
-	return bad
+	_, invalid := b.FirstLines()
+	return invalid
 }
 
 // ---- The relay ----
--- a/integration/state_dir_test.go
+++ b/integration/state_dir_test.go
@@ -38,7 +38,8 @@
 		}
 	}
 	before := readSnapshot()
-	if err := os.Symlink(fullDisk, path+".new"); err != nil { // one write fails, and the relay then removes the temporary file, here the link
+	// One write fails, and the relay then removes the temporary file, here the link.
+	if err := os.Symlink(fullDisk, path+".new"); err != nil {
 		t.Fatal(err)
 	}
 	r.waitLogged(recovered)
--- a/integration/wall_clock_test.go
+++ b/integration/wall_clock_test.go
@@ -42,7 +42,7 @@
 	return path, err
 })
 
-// newFaultyRelay starts a faulty relay whose wall clock is off by step, without other faults.
+// newFaultyRelay starts a faulty relay whose wall clock is off by step and whose system calls work.
 func newFaultyRelay(t testing.TB, config string, fronts int, step time.Duration) *faultyRelay {
 	t.Helper()
 	path, err := faultyProgram()
