--- a/integration/crossing_descriptors_test.go
+++ b/integration/crossing_descriptors_test.go
@@ -5,30 +5,30 @@
 	"testing"
 )
 
-// fullSockets is a limit of descriptors that a test's clients can exhaust.
-const fullSockets = 100
+// smallSocketLimit is a descriptor limit that the clients of one test can exhaust.
+const smallSocketLimit = 100
 
-func newFullRig(t *testing.T, members int) (*lineRig, int) {
+func newSocketLimitRig(t *testing.T, members int) (*lineRig, int) {
 	t.Helper()
-	s := newLineRig(t, members, map[string]any{"limits": map[string]any{"cores": 1, "memory_mb": 32, "sockets": fullSockets}})
-	waitFor(t, "the first watch", func() bool { return s.d.Calls() > 1 })
+	s := newLineRig(t, members, map[string]any{"limits": map[string]any{"cores": 1, "memory_mb": 32, "sockets": smallSocketLimit}})
+	waitFor(t, "the first watch at discovery", func() bool { return s.d.Calls() > 1 })
 	return s, s.descriptors()
 }
 
-// returnAndDrain brings discovery back and lets a member drain there. The clients of its flows are moved once the relay has
-// reached discovery.
-func (s *lineRig) returnAndDrain(stands *client, b *backend) {
+// restoreDiscoveryAndDrain makes discovery available again, lists a member there as draining and waits
+// until flow, which is at that member, is moved. This shows that the relay has reached discovery.
+func (s *lineRig) restoreDiscoveryAndDrain(flow *client, drained *fakeMember) {
 	s.t.Helper()
 	s.d.SetDown(false)
-	s.d.SetLifecycle(b.id, "DRAINING")
-	stands.wantLine("MOVE")
+	s.d.SetLifecycle(drained.id, "DRAINING")
+	flow.wantLine("MOVE")
 }
 
-// waitServed waits until a request is served, and ends it.
+// waitServed sends requests, numbered after from, until one is accepted, and closes each.
 func (s *lineRig) waitServed(from int) {
 	s.t.Helper()
 	n := from
-	waitFor(s.t, "service", func() bool {
+	waitFor(s.t, "a request to be accepted", func() bool {
 		n++
 		c := s.openFlow(n, "")
 		defer c.Close()
@@ -36,17 +36,19 @@
 	})
 }
 
-// TestCrossingFullIdle: clients that send nothing, check readiness and stay, or send half a line, fill the descriptors while
-// discovery is down. Once it is back the relay reaches it and its members, while these clients stay.
-func TestCrossingFullIdle(t *testing.T) {
+// TestCrossingDescriptorsIdleClients guards against a relay that cannot reach discovery or its members
+// because clients have taken all descriptors. While discovery is down, clients exhaust the limit: a
+// third of them sends nothing, a third sends PING and stays, a third sends half a line. When discovery
+// is back, the relay must reach it and the members although these clients stay.
+func TestCrossingDescriptorsIdleClients(t *testing.T) {
 	t.Parallel()
-	s, before := newFullRig(t, 2)
-	stands := s.openFlow(1, "")
-	b := s.memberOfFlow(stands.wantLine("UP "))
+	s, before := newSocketLimitRig(t, 2)
+	flow := s.openFlow(1, "")
+	b := s.memberOfFlow(flow.wantLine("UP "))
 	s.d.SetDown(true)
 	s.waitLogged("discovery call failed")
 	var idle []*client
-	for n := range 3 * fullSockets {
+	for n := range 3 * smallSocketLimit {
 		c := s.dial()
 		idle = append(idle, c)
 		switch n % 3 {
@@ -56,52 +58,54 @@
 			c.Write([]byte("OPEN 00000000"))
 		}
 	}
-	s.returnAndDrain(stands, b)
+	s.restoreDiscoveryAndDrain(flow, b)
 	s.waitServed(100)
-	if held := s.descriptors(); held > fullSockets {
-		t.Errorf("%d descriptors of %d", held, fullSockets)
+	if open := s.descriptors(); open > smallSocketLimit {
+		t.Errorf("the relay has %d open descriptors, want at most %d", open, smallSocketLimit)
 	}
 	for _, c := range idle {
 		c.Close()
 	}
 	s.waitDescriptorsReleased(before)
-	checkAttemptCounter(t, s.tries)
+	checkAttemptCounter(t, s.attemptCounter)
 	s.stop()
 }
 
-// TestCrossingFullOpen: open flows fill the descriptors while discovery is down, and rejected clients stay as long as they may.
-// Once discovery is back the relay reaches it; service resumes when clients go.
-func TestCrossingFullOpen(t *testing.T) {
+// TestCrossingDescriptorsOpenFlows guards against a relay that cannot reach discovery because open flows
+// have taken all descriptors. Flows exhaust the limit before discovery goes down, and further clients,
+// which do not read their rejection, stay connected as long as the relay lets them. When discovery is
+// back, the relay must reach it; requests are accepted again once the clients leave.
+func TestCrossingDescriptorsOpenFlows(t *testing.T) {
 	t.Parallel()
-	s, before := newFullRig(t, 2)
-	stands := s.openFlow(1, "")
-	b := s.memberOfFlow(stands.wantLine("UP "))
+	s, before := newSocketLimitRig(t, 2)
+	flow := s.openFlow(1, "")
+	b := s.memberOfFlow(flow.wantLine("UP "))
 	var all []*client
-	turned := 0
-	for n := range fullSockets {
+	rejected := 0
+	for n := range smallSocketLimit {
 		c := s.openFlow(100+n, "")
 		all = append(all, c)
 		if !strings.HasPrefix(c.line(), "UP ") {
-			turned++
+			rejected++
 		}
 	}
-	if turned == 0 || turned == fullSockets {
-		t.Fatalf("%d of %d were turned away", turned, fullSockets)
+	if rejected == 0 || rejected == smallSocketLimit {
+		t.Fatalf("%d of %d requests were rejected, want some but not all", rejected, smallSocketLimit)
 	}
 	s.d.SetDown(true)
 	s.waitLogged("discovery call failed")
-	for n := range fullSockets {
-		all = append(all, s.openFlow(1000+n, "")) // not read
+	for n := range smallSocketLimit {
+		all = append(all, s.openFlow(1000+n, "")) // the answer is not read
 	}
-	s.returnAndDrain(stands, b)
-	if held := s.descriptors(); held > fullSockets {
-		t.Errorf("%d descriptors of %d", held, fullSockets)
+	s.restoreDiscoveryAndDrain(flow, b)
+	if open := s.descriptors(); open > smallSocketLimit {
+		t.Errorf("the relay has %d open descriptors, want at most %d", open, smallSocketLimit)
 	}
 	for _, c := range all {
 		c.Close()
 	}
 	s.waitServed(2000)
 	s.waitDescriptorsReleased(before)
-	checkAttemptCounter(t, s.tries)
+	checkAttemptCounter(t, s.attemptCounter)
 	s.stop()
 }
--- a/integration/crossing_upgrade_test.go
+++ b/integration/crossing_upgrade_test.go
@@ -10,7 +10,8 @@
 	"time"
 )
 
-// newUpgradeRig is a relay that can have a successor, with open flows.
+// newUpgradeRig returns a relay that supports an upgrade, with open flows and their two ends. A successor
+// is a second process with the same configuration, to which the first one hands over its connections.
 func newUpgradeRig(t *testing.T, flows int) (s *scriptedRig, clients []*client, members []*attempt) {
 	t.Helper()
 	s = newScriptedRig(t, 2, map[string]any{"operator": "127.0.0.1:0"})
@@ -21,8 +22,9 @@
 	return s, clients, members
 }
 
-// passFlows stops the relay while its successor is suspended, and returns once it has handed its flows over.
-func (s *scriptedRig) passFlows(next *relay) time.Time {
+// handOverFlows stops the relay while its successor is suspended. When it returns the relay has sent its
+// flows to the successor, which has not received them yet.
+func (s *scriptedRig) handOverFlows(next *relay) time.Time {
 	s.t.Helper()
 	next.suspend()
 	since := s.terminate()
@@ -30,54 +32,55 @@
 	return since
 }
 
-// waitLoopRound returns when the event loop has completed a round: an operator's call is answered, or refused because the
-// listeners are closed.
+// waitLoopRound waits until the event loop has completed a round: until an operator call is answered, or
+// refused because the listeners are closed.
 func (s *scriptedRig) waitLoopRound() {
 	c, err := net.Dial("tcp", s.addrs["operator"])
 	if err != nil {
 		return
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(eventTimeout))
 	fmt.Fprint(c, "GET /-/ready HTTP/1.1\r\nHost: relay\r\n\r\n")
 	c.Read(make([]byte, 1))
 }
 
-// handoverSocket is the inode of the socket at which a successor is awaited. A process that begins to accept clients creates it
-// again.
-func (r *relay) handoverSocket() uint64 {
+// handoverSocketInode returns the inode of the socket on which a relay listens for its successor, 0 if
+// there is none. A process that begins to accept clients creates the socket again.
+func (r *relay) handoverSocketInode() uint64 {
 	r.t.Helper()
 	paths, err := filepath.Glob(filepath.Join(filepath.Dir(r.configPath), "dahliarudder-*", "upgrade.sock"))
 	if err != nil || len(paths) > 1 {
-		r.t.Fatalf("sockets %q, %v", paths, err)
+		r.t.Fatalf("handover sockets %q (error: %v), want at most one", paths, err)
 	}
 	var at syscall.Stat_t
 	if len(paths) == 0 || syscall.Stat(paths[0], &at) != nil {
-		return 0 // between its end and its start
+		return 0 // the old one is removed and the new one not yet created
 	}
 	return at.Ino
 }
 
-// exchangeLine passes a line each way on a flow.
+// exchangeLine sends a line each way on a flow.
 func exchangeLine(c *client, a *attempt, line string) {
 	c.t.Helper()
 	c.send(line)
 	if got := a.nextLine(); got != line {
-		c.t.Errorf("the member got %q for %q", got, line)
+		c.t.Errorf("the member got %q, want %q", got, line)
 	}
 	a.write("GOT " + line + "\r\n")
 	c.wantLine("GOT " + line)
 }
 
-// TestCrossingPassBytes: bytes arrive both ways while a flow is on its way to the successor. All arrive, in order.
-func TestCrossingPassBytes(t *testing.T) {
+// TestCrossingHandoverBytes: bytes arrive from both sides while flows are being handed over. All must
+// reach the other side, in order.
+func TestCrossingHandoverBytes(t *testing.T) {
 	t.Parallel()
 	s, clients, members := newUpgradeRig(t, 6)
 	next := s.startSuccessor(2)
 	for i := range clients {
 		members[i].write("GOT ha")
 	}
-	since := s.passFlows(next)
+	since := s.handOverFlows(next)
 	for i, c := range clients {
 		c.send(fmt.Sprint("line ", i))
 		members[i].write("lf\r\nGOT more\r\n")
@@ -98,16 +101,17 @@
 	wantMoved(clients...)
 }
 
-// TestCrossingPassEnds: the client, or the member, ends a flow while it is on its way to the successor. The other side ends in the same manner.
-func TestCrossingPassEnds(t *testing.T) {
+// TestCrossingHandoverFlowEnds: the client or the member ends a flow while it is being handed over. The
+// relay must end the other side in the same manner.
+func TestCrossingHandoverFlowEnds(t *testing.T) {
 	t.Parallel()
-	for what, leave := range clientEnds {
-		t.Run("client "+what, func(t *testing.T) {
+	for name, leave := range clientEnds {
+		t.Run("client "+name, func(t *testing.T) {
 			t.Parallel()
 			s, clients, members := newUpgradeRig(t, 4)
 			next := s.startSuccessor(2)
 			before := next.descriptors()
-			since := s.passFlows(next)
+			since := s.handOverFlows(next)
 			for _, c := range clients {
 				leave(c)
 			}
@@ -125,7 +129,7 @@
 		s, clients, members := newUpgradeRig(t, 4)
 		next := s.startSuccessor(2)
 		before := next.descriptors()
-		since := s.passFlows(next)
+		since := s.handOverFlows(next)
 		for _, a := range members {
 			a.countEnd()
 			a.write("BYE\r\n")
@@ -142,15 +146,16 @@
 	})
 }
 
-// TestCrossingPassDrain: a member drains, or is gone from the list, while its flows are on their way. The successor moves them.
-func TestCrossingPassDrain(t *testing.T) {
+// TestCrossingHandoverMemberDrains: members drain or disappear from the list while their flows are being
+// handed over. The successor must move the clients.
+func TestCrossingHandoverMemberDrains(t *testing.T) {
 	t.Parallel()
 	for _, lifecycle := range []string{"DRAINING", "DELETED"} {
 		t.Run(lifecycle, func(t *testing.T) {
 			t.Parallel()
 			s, clients, members := newUpgradeRig(t, 4)
 			next := s.startSuccessor(2)
-			since := s.passFlows(next)
+			since := s.handOverFlows(next)
 			for _, m := range s.members {
 				s.d.SetLifecycle(m.id, lifecycle)
 			}
@@ -165,65 +170,69 @@
 	}
 }
 
-// TestCrossingPassNewerKilled: the successor is killed with flows on their way to it. The first one, which has given them up, moves their clients.
-func TestCrossingPassNewerKilled(t *testing.T) {
+// TestCrossingHandoverSuccessorKilled: the successor is killed while flows are being handed over to it.
+// The first process, which no longer serves them, must move their clients.
+func TestCrossingHandoverSuccessorKilled(t *testing.T) {
 	t.Parallel()
 	s, clients, _ := newUpgradeRig(t, 6)
 	next := s.startSuccessor(2)
-	since := s.passFlows(next)
+	since := s.handOverFlows(next)
 	next.cmd.Process.Kill()
 	<-next.done
 	wantMoved(clients...)
 	s.wantTimelyExit(since)
 }
 
-// newRigWithoutMembers is a relay all of whose members drain. Once they serve they accept all attempts.
-func newRigWithoutMembers(t *testing.T, members int) *scriptedRig {
+// newAllDrainingRig returns a relay whose members are all draining. They accept all attempts once the
+// test lists them as serving.
+func newAllDrainingRig(t *testing.T, members int) *scriptedRig {
 	t.Helper()
 	s := newScriptedRig(t, members, map[string]any{"operator": "127.0.0.1:0"})
 	for _, m := range s.members {
 		m.setAutoAccept(true)
 		s.d.SetLifecycle(m.id, "DRAINING")
 	}
-	waitFor(t, "no member", func() bool { return s.call("GET", "/-/ready") == 503 })
+	waitFor(t, "the relay to be without a usable member", func() bool { return s.call("GET", "/-/ready") == 503 })
 	return s
 }
 
-// suspendBothAtTakeover starts a successor, and suspends both processes just as that begins to accept clients: once the members serve.
+// suspendBothAtTakeover starts a successor and suspends both processes when it begins to accept clients,
+// which it does once the test lists the members as serving.
 func (s *scriptedRig) suspendBothAtTakeover() *relay {
 	s.t.Helper()
-	next := start(s.t, s.configPath, 2) // it accepts no clients before it has a member
+	next := start(s.t, s.configPath, 2) // accepts no clients until it has a usable member
 	s.waitLogged("a successor starts")
 	s.suspend()
-	before := s.handoverSocket()
+	before := s.handoverSocketInode()
 	for _, m := range s.members {
 		s.d.SetLifecycle(m.id, "SERVING")
 	}
-	waitFor(s.t, "the successor's beginning", func() bool { now := s.handoverSocket(); return now != 0 && now != before })
+	waitFor(s.t, "the successor to accept clients", func() bool { now := s.handoverSocketInode(); return now != 0 && now != before })
 	next.suspend()
 	return next
 }
 
-// TestCrossingFreshNewerKilled: the successor is killed with connections on their way to it whose first lines have come or are still to come. The
-// first one serves them.
-func TestCrossingFreshNewerKilled(t *testing.T) {
+// TestCrossingHandoverSuccessorKilledBeforeRequest: the successor is killed while connections without a
+// flow are being handed over to it; some have sent their first line, some have not. The first process
+// must serve them.
+func TestCrossingHandoverSuccessorKilledBeforeRequest(t *testing.T) {
 	t.Parallel()
-	s := newRigWithoutMembers(t, 2)
-	quiet, half, asks, front := s.dial(), s.dial(), s.dial(), s.dial()
+	s := newAllDrainingRig(t, 2)
+	idle, half, withRequest, front := s.dial(), s.dial(), s.dial(), s.dial()
 	line := firstLine(3, 2900*time.Millisecond) + "\r\n"
 	fmt.Fprint(half, line[:30])
 	front.send("PING")
-	front.wantLine("PONG") // the others were accepted before
+	front.wantLine("PONG") // the earlier connections have been accepted by now
 	next := s.suspendBothAtTakeover()
-	asks.send(firstLine(1, 2900*time.Millisecond))
+	withRequest.send(firstLine(1, 2900*time.Millisecond))
 	s.resume()
 	s.waitLogged("a successor serves")
 	s.waitLoopRound()
 	next.cmd.Process.Kill()
 	<-next.done
-	asks.wantLine("UP ")
-	quiet.send(firstLine(2, 2900*time.Millisecond))
-	quiet.wantLine("UP ")
+	withRequest.wantLine("UP ")
+	idle.send(firstLine(2, 2900*time.Millisecond))
+	idle.wantLine("UP ")
 	fmt.Fprint(half, line[30:])
 	half.wantLine("UP ")
 	front.send("PING")
@@ -233,12 +242,13 @@
 	s.stop()
 }
 
-// TestCrossingPassOlderKilled: the first process is killed with flows on their way to its successor, which serves them.
-func TestCrossingPassOlderKilled(t *testing.T) {
+// TestCrossingHandoverPredecessorKilled: the first process is killed while flows are being handed over.
+// The successor must serve them.
+func TestCrossingHandoverPredecessorKilled(t *testing.T) {
 	t.Parallel()
 	s, clients, members := newUpgradeRig(t, 6)
 	next := s.startSuccessor(2)
-	s.passFlows(next)
+	s.handOverFlows(next)
 	s.cmd.Process.Kill()
 	<-s.done
 	next.resume()
@@ -250,19 +260,19 @@
 	wantMoved(clients...)
 }
 
-// TestCrossingFreshMany: SIGTERM comes while more idle connections wait for the handover than may be in transit, and then their
-// first lines come. The successor serves each.
-func TestCrossingFreshMany(t *testing.T) {
+// TestCrossingHandoverManyIdle: SIGTERM comes while more idle connections wait for the handover than may be
+// in transfer at once; then their first lines arrive. The successor must serve each of them.
+func TestCrossingHandoverManyIdle(t *testing.T) {
 	t.Parallel()
-	const many = 20 // passBurst of the program is 8
-	s := newRigWithoutMembers(t, 8)
+	const idleClients = 20 // handoverBurst of the program is 8
+	s := newAllDrainingRig(t, 8)
 	var all []*client
-	for range many {
+	for range idleClients {
 		all = append(all, s.dial())
 	}
 	front := s.dial()
 	front.send("PING")
-	front.wantLine("PONG") // the others were accepted before
+	front.wantLine("PONG") // the earlier connections have been accepted by now
 	next := s.suspendBothAtTakeover()
 	s.resume()
 	s.waitLogged("a successor serves")
@@ -281,88 +291,90 @@
 	next.stop()
 }
 
-// TestCrossingBothStop: SIGTERM to both, at the first one before, at the successor before, or with the first one already past its listeners. Who
-// still arrives is answered by one of them, and flows are moved.
-func TestCrossingBothStop(t *testing.T) {
+// TestCrossingHandoverBothStop: both processes get SIGTERM: the first one before the successor, after it,
+// at the same time, or when it no longer accepts clients. A client that still connects must be
+// answered by one of them, and open flows must be moved.
+func TestCrossingHandoverBothStop(t *testing.T) {
 	t.Parallel()
-	arrives := func(t *testing.T, s *scriptedRig, n int) {
+	wantBusy := func(t *testing.T, s *scriptedRig, n int) {
 		t.Helper()
 		c := s.openWithDeadline(n, 2*time.Second)
 		c.wantLine("BUSY ")
 		c.wantLine(io.EOF.Error())
 	}
-	t.Run("the first is past its listeners", func(t *testing.T) {
+	t.Run("the first no longer accepts", func(t *testing.T) {
 		t.Parallel()
 		s, _, _ := newUpgradeRig(t, 0)
 		next := s.startSuccessor(2)
 		s.terminate()
-		s.suspend() // within the time that its last answers have
+		s.suspend() // during the time that its last answers have to leave
 		since := time.Now()
 		next.cmd.Process.Signal(syscall.SIGTERM)
 		next.waitLogged("msg=stopping")
 		for n := range 5 {
-			arrives(t, s, 100+n)
+			wantBusy(t, s, 100+n)
 		}
 		next.waitExit()
 		if took := time.Since(since); took > maxCountedDeadline+killMargin {
-			t.Errorf("the successor ended %v after SIGTERM", took)
+			t.Errorf("the successor ended %v after SIGTERM, want at most %v", took, maxCountedDeadline+killMargin)
 		}
 		s.resume()
 		s.waitExit()
 	})
-	for what, first := range map[string]bool{"at once, the first stands still": true, "at once, the successor stands still": false} {
-		t.Run(what, func(t *testing.T) {
+	for name, suspendFirst := range map[string]bool{"at once, the first is suspended": true, "at once, the successor is suspended": false} {
+		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			s, _, _ := newUpgradeRig(t, 0)
 			next := s.startSuccessor(2)
-			still, other := s.relay, next
-			if !first {
-				still, other = next, s.relay
+			suspended, other := s.relay, next
+			if !suspendFirst {
+				suspended, other = next, s.relay
 			}
-			still.suspend() // its own SIGTERM and the other's word wait for the same round
+			suspended.suspend() // so that one loop round sees its own SIGTERM and the message of the other process
 			other.cmd.Process.Signal(syscall.SIGTERM)
 			other.waitLogged("msg=stopping")
-			still.cmd.Process.Signal(syscall.SIGTERM)
-			still.resume()
-			still.waitLogged("msg=stopping")
+			suspended.cmd.Process.Signal(syscall.SIGTERM)
+			suspended.resume()
+			suspended.waitLogged("msg=stopping")
 			for n := range 5 {
-				arrives(t, s, 100+n)
+				wantBusy(t, s, 100+n)
 			}
 			next.waitExit()
 			s.waitExit()
 		})
 	}
-	for what, first := range map[string]bool{"the first at first": true, "the successor at first": false} {
-		t.Run(what, func(t *testing.T) {
+	for name, firstBeforeSuccessor := range map[string]bool{"the first before the successor": true, "the successor before the first": false} {
+		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			s, clients, _ := newUpgradeRig(t, 4)
-			held := s.openFlow(50, "") // keeps the first one from ending
+			pending := s.openFlow(50, "") // prevents the first process from ending
 			a := s.nextAttempt()
 			next := s.startSuccessor(2)
-			one, other := s.relay, next
-			if !first {
-				one, other = next, s.relay
+			earlier, later := s.relay, next
+			if !firstBeforeSuccessor {
+				earlier, later = next, s.relay
 			}
 			since := time.Now()
-			one.cmd.Process.Signal(syscall.SIGTERM)
-			one.waitLogged("msg=stopping")
-			other.cmd.Process.Signal(syscall.SIGTERM)
-			other.waitLogged("msg=stopping")
+			earlier.cmd.Process.Signal(syscall.SIGTERM)
+			earlier.waitLogged("msg=stopping")
+			later.cmd.Process.Signal(syscall.SIGTERM)
+			later.waitLogged("msg=stopping")
 			for n := range 5 {
-				arrives(t, s, 100+n)
+				wantBusy(t, s, 100+n)
 			}
 			a.accept()
-			held.wantLine("UP ")
-			wantMoved(append(clients, held)...)
+			pending.wantLine("UP ")
+			wantMoved(append(clients, pending)...)
 			next.waitExit()
 			s.wantTimelyExit(since)
 		})
 	}
 }
 
-// TestCrossingElsewhere: a request is in progress in the first process while its id is sent to the successor: before the flow
-// is open, during the handover, and after it. It is rejected each time, and there is one attempt.
-func TestCrossingElsewhere(t *testing.T) {
+// TestCrossingHandoverDuplicateID guards against a second attempt for a request id that is in use: while a
+// request is in progress in the first process, the same id is sent to the successor before the flow is
+// open, during the handover and after it. It must be rejected each time.
+func TestCrossingHandoverDuplicateID(t *testing.T) {
 	t.Parallel()
 	s, _, _ := newUpgradeRig(t, 0)
 	c := s.openFlow(7, "")
@@ -380,7 +392,7 @@
 	s.wantTimelyExit(since)
 	next.openFlow(7, "").wantLine("ERR")
 	if n := s.attemptCount(7); n != 1 {
-		t.Errorf("%d attempts", n)
+		t.Errorf("%d attempts, want 1", n)
 	}
 	exchangeLine(c, a, "still here")
 	next.stop()
--- a/integration/crossing_waiting_test.go
+++ b/integration/crossing_waiting_test.go
@@ -5,25 +5,26 @@
 	"time"
 )
 
-// doubtAfter is longer than the time for which a relay may be suspended without asking discovery again: a second by these
-// settings, besides what it may have waited anyway.
-const doubtAfter = 1500 * time.Millisecond
+// longSuspension is longer than a relay may be suspended and still trust its endpoint list. With these
+// settings that is one second; the rest is for what the relay may have waited before the suspension.
+const longSuspension = 1500 * time.Millisecond
 
-// TestCrossingLeftWaiting: the client leaves while its request waits in the relay, before its first attempt: the relay was
-// suspended and sends nothing before its endpoint list is current. No attempt starts after that.
-func TestCrossingLeftWaiting(t *testing.T) {
+// TestCrossingClientLeavesWaiting: a client leaves while its request waits in the relay before the first
+// attempt. It waits because the relay was suspended: the relay then dispatches nothing until discovery
+// has answered or the grace has passed. No attempt must start for it.
+func TestCrossingClientLeavesWaiting(t *testing.T) {
 	t.Parallel()
-	for what, leave := range clientEnds {
-		t.Run(what, func(t *testing.T) {
+	for name, leave := range clientEnds {
+		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			s := newScriptedRig(t, 2, nil)
 			before := s.descriptors()
 			c := s.dial()
 			c.send("PING")
 			c.wantLine("PONG")
-			s.d.SetAnswerDelay(patience) // the relay is to be sure only after the grace
+			s.d.SetAnswerDelay(eventTimeout) // without an answer, dispatch resumes only after the grace
 			s.suspend()
-			time.Sleep(doubtAfter) // its clock goes on; that is the event
+			time.Sleep(longSuspension) // time passes for the process while it is suspended
 			c.send(firstLine(1, 2900*time.Millisecond))
 			s.resume()
 			s.waitLogged("this process was suspended")
@@ -33,7 +34,7 @@
 			s.waitDescriptorsReleased(before)
 			s.wantTimelyExit(s.terminate())
 			if n := s.attemptCount(1); n != 0 {
-				t.Errorf("%d attempts for a client that has gone", n)
+				t.Errorf("%d attempts for a client that has left, want 0", n)
 			}
 		})
 	}
--- a/integration/crossing_watch_test.go
+++ b/integration/crossing_watch_test.go
@@ -15,28 +15,28 @@
 	"dahliarudder/internal/fakes"
 )
 
-// scriptedDiscovery answers calls as the test says, byte by byte.
+// scriptedDiscovery is a fake discovery service that answers watches as the test says.
 type scriptedDiscovery struct {
 	addr string
 
-	mu        sync.Mutex
-	at        int // the newest generation
-	list      []member
-	changed   map[string]int          // by member, when it changed last
-	watches   map[*scriptedWatch]bool // that are open now
-	nextCalls []func(*scriptedWatch)  // what happens to the calls that come next, one each
-	opened    int                     // calls so far
+	mu         sync.Mutex
+	generation int // of the newest list
+	list       []member
+	changed    map[string]int          // by member id, the generation of its last change
+	watches    map[*scriptedWatch]bool // open watches
+	nextCalls  []func(*scriptedWatch)  // handlers of the next calls, one per call
+	calls      int                     // calls so far
 }
 
-// scriptedWatch is a call that waits for a change.
+// scriptedWatch is a call to discovery; while it is in watches it waits for a change.
 type scriptedWatch struct {
 	net.Conn
-	since int
-	done  chan struct{}
+	since int           // the generation that the caller has, or -1
+	done  chan struct{} // closed when the call is finished
 }
 
 func newScriptedDiscovery(t testing.TB, list []member) *scriptedDiscovery {
-	d := &scriptedDiscovery{at: 1, list: list, changed: map[string]int{}, watches: map[*scriptedWatch]bool{}}
+	d := &scriptedDiscovery{generation: 1, list: list, changed: map[string]int{}, watches: map[*scriptedWatch]bool{}}
 	for _, m := range list {
 		d.changed[m.ID] = 1
 	}
@@ -63,7 +63,7 @@
 	}
 }
 
-// handleCall serves one; false if the connection is of no more use.
+// handleCall serves one call. It returns false if the connection must be closed.
 func (d *scriptedDiscovery) handleCall(c net.Conn, target string) bool {
 	u, err := url.Parse(target)
 	if err != nil {
@@ -75,7 +75,7 @@
 		w.since, _ = strconv.Atoi(text)
 	}
 	d.mu.Lock()
-	d.opened++
+	d.calls++
 	if len(d.nextCalls) > 0 {
 		handle := d.nextCalls[0]
 		d.nextCalls = d.nextCalls[1:]
@@ -83,7 +83,7 @@
 		handle(w)
 		return false
 	}
-	if w.since != d.at || wait == 0 {
+	if w.since != d.generation || wait == 0 {
 		text := d.listText(w.since, "")
 		d.mu.Unlock()
 		return respond(c, text)
@@ -96,20 +96,21 @@
 	case <-time.After(time.Duration(wait) * time.Millisecond):
 	}
 	d.mu.Lock()
-	stands := d.watches[w]
+	unanswered := d.watches[w]
 	delete(d.watches, w)
 	text := d.listText(w.since, "")
 	d.mu.Unlock()
-	if !stands { // it is answered elsewhere, or never
+	if !unanswered { // drain has passed the watch to a handler, which may never answer it
 		<-w.done
 		return true
 	}
 	return respond(c, text)
 }
 
-// listText is the answer to a reader that has a generation.
+// listText returns the answer to a caller that has generation since: the members that have changed
+// after it, or all members if since is negative.
 func (d *scriptedDiscovery) listText(since int, indent string) string {
-	out := fakes.List{Generation: d.at, Reset: since < 0, Instances: []member{}}
+	out := fakes.List{Generation: d.generation, Reset: since < 0, Instances: []member{}}
 	for _, m := range d.list {
 		if since < 0 || d.changed[m.ID] > since {
 			out.Instances = append(out.Instances, m)
@@ -131,19 +132,20 @@
 	return err == nil
 }
 
-// hasWatch reports whether a call waits.
+// hasWatch reports whether a watch is open.
 func (d *scriptedDiscovery) hasWatch() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(d.watches) > 0
 }
 
-// drain changes a member; to the watches that are open, and to the calls that come next, happens what is given.
-func (d *scriptedDiscovery) drain(id string, open func(w *scriptedWatch, d *scriptedDiscovery), next ...func(*scriptedWatch)) time.Time {
+// drain lists a member as DRAINING and returns the time of the change. answerOpen is called for each
+// open watch; each of next handles one of the following calls.
+func (d *scriptedDiscovery) drain(id string, answerOpen func(w *scriptedWatch, d *scriptedDiscovery), next ...func(*scriptedWatch)) time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.at++
-	d.changed[id] = d.at
+	d.generation++
+	d.changed[id] = d.generation
 	for i := range d.list {
 		if d.list[i].ID == id {
 			d.list[i].Lifecycle = "DRAINING"
@@ -153,12 +155,12 @@
 	at := time.Now()
 	for w := range d.watches {
 		delete(d.watches, w)
-		open(w, d)
+		answerOpen(w, d)
 	}
 	return at
 }
 
-// What happens to a call.
+// Handlers of open watches.
 
 func answerFullList(w *scriptedWatch, d *scriptedDiscovery) {
 	fmt.Fprint(w, response(d.listText(-1, "")))
@@ -170,7 +172,7 @@
 	close(w.done)
 }
 
-// answerBytewise has every byte leave by itself.
+// answerBytewise writes the answer one byte at a time.
 func answerBytewise(w *scriptedWatch, d *scriptedDiscovery) {
 	w.Conn.(*net.TCPConn).SetNoDelay(true)
 	for _, b := range []byte(response(d.listText(w.since, ""))) {
@@ -185,48 +187,49 @@
 	close(w.done)
 }
 
-// newWatchRig is a relay whose members accept all attempts, with a scripted discovery.
+// newWatchRig returns a relay with a scripted discovery and members that accept all attempts.
 func newWatchRig(t *testing.T) (*scriptedRig, *scriptedDiscovery) {
 	t.Helper()
 	s := &scriptedRig{attemptCounter: fakes.NewAttemptCounter()}
 	var list []member
-	s.members, list = newMembers(t, 2, s.attemptCounter)
+	s.members, list = newScriptedMembers(t, 2, s.attemptCounter)
 	for _, m := range s.members {
 		m.setAutoAccept(true)
 	}
 	d := newScriptedDiscovery(t, list)
 	s.relay = start(t, configure(t, &discovery{Discovery: fakes.NewDiscovery(list...), addr: d.addr}, nil), 1)
-	waitFor(t, "a watch", d.hasWatch)
+	waitFor(t, "an open watch at discovery", d.hasWatch)
 	return s, d
 }
 
-// lastSendTo makes requests, one after another, until the flow of the member that drains is moved, and returns when the last of them reached it.
-func (s *scriptedRig) lastSendTo(from *scriptedMember, stands *client) time.Time {
+// lastSendTo sends requests, one after another, until the relay moves flow, whose member drains, and
+// then ten more. It returns when the last first line reached that member.
+func (s *scriptedRig) lastSendTo(drained *scriptedMember, flow *client) time.Time {
 	s.t.Helper()
-	told := make(chan string, 1)
-	go func() { told <- stands.line() }()
+	flowLine := make(chan string, 1)
+	go func() { flowLine <- flow.line() }()
 	n := 1000
-	serve := func() {
+	sendRequest := func() {
 		c := s.openFlow(n, "")
 		c.line() // UP or BUSY
 		c.Close()
 		n++
 	}
-	for waiting := true; waiting; serve() {
+	for waiting := true; waiting; sendRequest() {
 		select {
-		case line := <-told:
+		case line := <-flowLine:
 			if line != "MOVE" {
-				s.t.Errorf("the flow on the member that drains got %q", line)
+				s.t.Errorf("the flow on the draining member got %q, want MOVE", line)
 			}
 			waiting = false
 		default:
 		}
 	}
 	for range 10 {
-		serve()
+		sendRequest()
 	}
 	last := time.Time{}
-	for _, a := range from.arrivals() {
+	for _, a := range drained.arrivals() {
 		if a.at.After(last) {
 			last = a.at
 		}
@@ -234,8 +237,8 @@
 	return last
 }
 
-// flowToDrain opens flows until one is at a member that is to drain.
-func (s *scriptedRig) flowToDrain() (*client, *scriptedMember) {
+// openFlowOfMember opens a flow and returns the client and the member that accepted it.
+func (s *scriptedRig) openFlowOfMember() (*client, *scriptedMember) {
 	s.t.Helper()
 	c := s.openFlow(1, "")
 	up := c.wantLine("UP ")
@@ -244,33 +247,33 @@
 			return c, m
 		}
 	}
-	s.t.Fatalf("no member made %q", up)
+	s.t.Fatalf("%q names none of the members", up)
 	return nil, nil
 }
 
-// watchCase is a member's drain during which the watch fails in some way.
+// watchCase is a case in which a member drains while the watch is answered in an unusual way or fails.
 type watchCase struct {
-	what     string
-	deadline time.Duration // by the protocol, after the drain
-	open     func(*scriptedWatch, *scriptedDiscovery)
-	next     []func(*scriptedWatch)
+	name       string
+	deadline   time.Duration // the longest time between the drain and its delivery by the protocol
+	answerOpen func(*scriptedWatch, *scriptedDiscovery)
+	nextCalls  []func(*scriptedWatch)
 }
 
 func (test watchCase) run(t *testing.T) {
 	t.Parallel()
 	s, d := newWatchRig(t)
-	c, m := s.flowToDrain()
-	at := d.drain(m.id, test.open, test.next...)
+	c, m := s.openFlowOfMember()
+	at := d.drain(m.id, test.answerOpen, test.nextCalls...)
 	last := s.lastSendTo(m, c).Sub(at)
-	t.Logf("the last send went %v after the drain", last.Round(time.Millisecond))
-	if most := test.deadline + drainGrace + socketTolerance; last > most {
-		t.Errorf("sent to a member %v after its drain; %v are allowed", last, most)
+	t.Logf("the last request reached the member %v after it was listed as draining", last.Round(time.Millisecond))
+	if limit := test.deadline + drainGrace + socketTolerance; last > limit {
+		t.Errorf("a request reached the member %v after it was listed as draining, want at most %v", last, limit)
 	}
 	s.checkAttempts()
 }
 
-// TestCrossingWatch: a member drains, and the update comes in one of the forms that the protocol allows, or the watch is reset
-// just then.
+// TestCrossingWatch guards against requests to a member that has begun to drain. The update comes in
+// one of the forms that the protocol allows, or the watch is reset at that moment.
 func TestCrossingWatch(t *testing.T) {
 	t.Parallel()
 	for _, test := range []watchCase{
@@ -279,24 +282,25 @@
 		{"whole list", 0, answerFullList, nil},
 		{"reset", silentWatchDeadline, answerReset, nil},
 	} {
-		t.Run(test.what, test.run)
+		t.Run(test.name, test.run)
 	}
 }
 
-// TestCrossingWatchMoved: SIGHUP moves discovery, and a member drains right after, at the new address alone.
+// TestCrossingWatchMoved: SIGHUP changes the discovery address, and a member starts to drain right
+// after it, in the list at the new address only.
 func TestCrossingWatchMoved(t *testing.T) {
 	t.Parallel()
 	s, old := newWatchRig(t)
-	c, m := s.flowToDrain()
+	c, m := s.openFlowOfMember()
 	before := s.descriptors()
 	next := newScriptedDiscovery(t, s.entries())
 	at := time.Now()
 	s.reload(old.addr, next.addr)
-	next.drain(m.id, nil)
+	next.drain(m.id, answerFullList)
 	last := s.lastSendTo(m, c).Sub(at)
-	t.Logf("the last send went %v after SIGHUP", last.Round(time.Millisecond))
-	if most := reloadDeadline + drainGrace + socketTolerance; last > most {
-		t.Errorf("sent to a member %v after SIGHUP; %v are allowed", last, most)
+	t.Logf("the last request reached the member %v after SIGHUP", last.Round(time.Millisecond))
+	if limit := reloadDeadline + drainGrace + socketTolerance; last > limit {
+		t.Errorf("a request reached the draining member %v after SIGHUP, want at most %v", last, limit)
 	}
 	s.checkAttempts()
 	s.waitDescriptorsReleased(before)
--- a/integration/fleet_faults_test.go
+++ b/integration/fleet_faults_test.go
@@ -24,7 +24,7 @@
 	return -1
 }
 
-// waitForWithin is waitFor with a time limit of its own, for events that take longer than patience
+// waitForWithin is waitFor with a time limit of its own, for events that take longer than eventTimeout
 // or for conditions that are expensive to check.
 func waitForWithin(t *testing.T, timeout time.Duration, what string, ok func() bool) {
 	t.Helper()
@@ -142,7 +142,7 @@
 	f.mustCall(3, "POST", "/-/releases", map[string]any{"name": "r", "kind": "relay", "all": true})
 	w := f.watch("r")
 	other := -1
-	waitForWithin(t, patience, "one relay to have exited, and another one that is not the leader to be leaving", func() bool {
+	waitForWithin(t, eventTimeout, "one relay to have exited, and another one that is not the leader to be leaving", func() bool {
 		w.checkOneOut()
 		w.restartExited()
 		l := f.leaderOrNone()
@@ -161,13 +161,13 @@
 	// The leaving relay is not restarted before the killed one: while it is out it uses up the budget,
 	// so that no relay is ordered to leave twice. If both relays are voters, there is no majority and
 	// no leader until the killed one is back.
-	waitForWithin(t, patience, "another leader, or the exit of the leaving relay", func() bool {
+	waitForWithin(t, eventTimeout, "another leader, or the exit of the leaving relay", func() bool {
 		w.checkOneOut()
 		return f.leaderOrNone() >= 0 || len(f.relays[other].done) > 0
 	})
 	f.start(killed)
 	w.down = -1
-	waitForWithin(t, 2*patience, "all relays to have exited by order", func() bool {
+	waitForWithin(t, 2*eventTimeout, "all relays to have exited by order", func() bool {
 		w.checkOneOut()
 		w.restartExited()
 		return len(w.exits) == 4
@@ -193,7 +193,7 @@
 	f.mustCall(3, "POST", "/-/releases", map[string]any{"name": "r", "kind": "relay", "all": true})
 	w := f.watch("r")
 	leavingRelay := func() int { return slices.IndexFunc(f.relays, isLeaving) }
-	waitForWithin(t, patience, "one relay to have exited, and another one to be leaving", func() bool {
+	waitForWithin(t, eventTimeout, "one relay to have exited, and another one to be leaving", func() bool {
 		w.checkOneOut()
 		w.restartExited()
 		return len(w.exits) > 0 && leavingRelay() >= 0
@@ -207,7 +207,7 @@
 		f.start(i)
 	}
 	before := w.exits[ordered]
-	waitForWithin(t, 3*patience, "the release to be completed with 4 relays done", func() bool {
+	waitForWithin(t, 3*eventTimeout, "the release to be completed with 4 relays done", func() bool {
 		w.checkOneOut()
 		w.restartExited()
 		var a rollout.ReleaseStatus
@@ -230,7 +230,7 @@
 	if err := b.Start(now); err != nil {
 		f.t.Fatal(err)
 	}
-	e := b.member()
+	e := b.entry()
 	e.Started = now.UnixMilli()
 	f.d.Put(e)
 	return now
@@ -256,7 +256,7 @@
 	}
 	waitDrained := func(name string) {
 		t.Helper()
-		waitForWithin(t, patience, name+" to be drained", func() bool {
+		waitForWithin(t, eventTimeout, name+" to be drained", func() bool {
 			for _, u := range f.waitRelease(3, "m", rollout.ReleaseRunning).Units {
 				if u.Name == name {
 					return u.Phase == rollout.PhaseDrained
@@ -374,7 +374,7 @@
 	if n := f.flowsToMember(3, 12, 0); n > 0 {
 		t.Errorf("n3 sent %d flows to s0 after it applied the ejection", n)
 	}
-	waitForWithin(t, 2*patience, "the drift rows of n3 to disappear", func() bool { last = driftRows(); return len(last) == 0 })
+	waitForWithin(t, 2*eventTimeout, "the drift rows of n3 to disappear", func() bool { last = driftRows(); return len(last) == 0 })
 }
 
 // TestFleetPausePartitioned: no relay's record reaches another one when an operator pauses a canary at
@@ -488,7 +488,7 @@
 	restarted := f.restartMember(0)
 	f.mustCall(2, "PUT", fmt.Sprintf("/-/permits/%d/done", a.Number), nil)
 	var took time.Duration
-	waitForWithin(t, patience, "bob's permit for s1 to be granted", func() bool {
+	waitForWithin(t, eventTimeout, "bob's permit for s1 to be granted", func() bool {
 		b = requestPermit(3, "bob", "s1")
 		took = time.Since(restarted)
 		return b.State == string(rollout.PermitGranted)
--- a/integration/fleet_test.go
+++ b/integration/fleet_test.go
@@ -25,7 +25,7 @@
 type fleetRig struct {
 	t           *testing.T
 	d           *discovery
-	members     []*backend
+	members     []*fakeMember
 	relays      []*relay
 	conf        []string
 	recordAddrs []string            // where each relay's consensus engine listens
@@ -46,9 +46,9 @@
 	f := &fleetRig{t: t}
 	var list []member
 	for i := range members {
-		b := newBackend(t, fmt.Sprintf("s%d", i), nil)
+		b := newFakeMember(t, fmt.Sprintf("s%d", i), nil)
 		f.members = append(f.members, b)
-		list = append(list, b.member())
+		list = append(list, b.entry())
 	}
 	f.d = newDiscovery(t, list...)
 	var gossip []string
@@ -162,7 +162,7 @@
 // so that any goroutine may call it.
 func (f *fleetRig) send(i int, q *http.Request, into any) int {
 	f.t.Helper()
-	c := http.Client{Timeout: patience, Transport: &http.Transport{DisableKeepAlives: true}}
+	c := http.Client{Timeout: eventTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	answer, err := c.Do(q)
 	if err != nil {
 		return 0
@@ -438,7 +438,7 @@
 		}
 	})
 	// The verdict takes some seconds, however many flows there are.
-	waitForWithin(t, 3*patience, "the rollback of a canary whose member answers errors", func() bool {
+	waitForWithin(t, 3*eventTimeout, "the rollback of a canary whose member answers errors", func() bool {
 		openFlows(next, next+30)
 		next += 30
 		var a struct{ Canaries []struct{ Status string } }
@@ -471,11 +471,11 @@
 			all.Add(1)
 			go func() {
 				defer all.Done()
-				for !ok(i) && time.Since(from) < patience {
+				for !ok(i) && time.Since(from) < eventTimeout {
 					time.Sleep(5 * time.Millisecond)
 				}
 				if took[i] = time.Since(from); !ok(i) {
-					t.Errorf("%s: n%d did not apply it within %v", what, i, patience) // the failure logs the relays' output
+					t.Errorf("%s: n%d did not apply it within %v", what, i, eventTimeout) // the failure logs the relays' output
 				}
 			}()
 		}
--- a/integration/line_test.go
+++ b/integration/line_test.go
@@ -14,46 +14,46 @@
 	"dahliarudder/internal/fakes"
 )
 
-// lineRig is a relay with its discovery and members.
+// lineRig is a relay with a fake discovery and fake members that answer by themselves.
 type lineRig struct {
 	*relay
-	d        *discovery
-	backends []*backend
-	tries    *fakes.AttemptCounter
+	d              *discovery
+	members        []*fakeMember
+	attemptCounter *fakes.AttemptCounter
 }
 
-func newLineRig(t *testing.T, members int, more map[string]any) *lineRig {
+func newLineRig(t *testing.T, members int, extra map[string]any) *lineRig {
 	t.Helper()
-	s := &lineRig{tries: fakes.NewAttemptCounter()}
+	s := &lineRig{attemptCounter: fakes.NewAttemptCounter()}
 	var list []member
 	for i := range members {
-		b := newBackend(t, fmt.Sprintf("s-%08x", 0x5be2a000+i*0x01234567), s.tries)
-		s.backends = append(s.backends, b)
-		list = append(list, b.member())
+		b := newFakeMember(t, fmt.Sprintf("s-%08x", 0x5be2a000+i*0x01234567), s.attemptCounter)
+		s.members = append(s.members, b)
+		list = append(list, b.entry())
 	}
 	s.d = newDiscovery(t, list...)
-	listeners := 1
-	if more["operator"] != nil {
-		listeners++
+	fronts := 1
+	if extra["operator"] != nil {
+		fronts++
 	}
-	s.relay = start(t, configure(t, s.d, more), listeners)
+	s.relay = start(t, configure(t, s.d, extra), fronts)
 	return s
 }
 
-// memberOfFlow is the member that has a flow, by the UP line.
-func (s *lineRig) memberOfFlow(up string) *backend {
+// memberOfFlow returns the member named in the UP line of a flow.
+func (s *lineRig) memberOfFlow(up string) *fakeMember {
 	s.t.Helper()
-	for _, b := range s.backends {
+	for _, b := range s.members {
 		if strings.HasPrefix(up, "UP "+b.id+"/") {
 			return b
 		}
 	}
-	s.t.Fatalf("no member made %q", up)
+	s.t.Fatalf("%q names none of the members", up)
 	return nil
 }
 
-// TestFlow: flows come up with a member's receipt, lines pass both ways
-// unchanged, only d is rewritten, and a served flow ends politely.
+// TestFlow: flows are accepted with the member's receipt, lines pass both ways unchanged, the first line
+// changes in its field d only, and a flow that is served ends with an orderly close.
 func TestFlow(t *testing.T) {
 	s := newLineRig(t, 3, nil)
 	for n := range 20 {
@@ -61,13 +61,13 @@
 		up := c.wantLine("UP ")
 		b := s.memberOfFlow(up)
 		if up != fmt.Sprintf("UP %s/%016x", b.id, n) {
-			t.Fatalf("receipt %q", up)
+			t.Fatalf("UP line = %q, want UP %s/%016x", up, b.id, n)
 		}
 		for _, word := range []string{"hello", "OPEN sesame", ""} {
 			c.send(word)
 			c.wantLine("LOAD ")
 			if got := c.wantLine("GOT "); !strings.HasSuffix(got, " "+word) {
-				t.Fatalf("got %q for %q", got, word)
+				t.Fatalf("the member echoed %q, want %q", got, word)
 			}
 		}
 		c.send("END")
@@ -80,11 +80,11 @@
 			t.Fatalf("the member got %q, want %q", lines[len(lines)-1], want)
 		}
 	}
-	checkAttemptCounter(t, s.tries)
+	checkAttemptCounter(t, s.attemptCounter)
 	s.stop()
 }
 
-// TestPing: a front admits a relay by PING on a connection that may go on.
+// TestPing: PING is the readiness check of a front proxy; the connection stays usable after it.
 func TestPing(t *testing.T) {
 	s := newLineRig(t, 1, nil)
 	c := s.dial()
@@ -96,14 +96,14 @@
 	c.wantLine("UP ")
 }
 
-// TestMemberFaults: members that turn away, fail or reset cost a request at most three
-// attempts, one after another, and every request gets exactly one final answer.
+// TestMemberFaults: with members that reject, fail or reset, a request costs at most three attempts, one
+// after another, and gets exactly one final answer.
 func TestMemberFaults(t *testing.T) {
 	for _, mode := range []fakes.MemberMode{fakes.ModeBusy, fakes.ModeErr, fakes.ModeReset} {
 		t.Run(string(mode), func(t *testing.T) {
 			s := newLineRig(t, 3, nil)
-			s.backends[0].SetMode(mode)
-			s.backends[1].SetMode(mode)
+			s.members[0].SetMode(mode)
+			s.members[1].SetMode(mode)
 			answers := map[string]int{}
 			for n := range 12 {
 				c := s.openFlow(n, "")
@@ -116,97 +116,99 @@
 				c.wantLine(io.EOF.Error())
 			}
 			if answers["UP"] == 0 || answers["UP"]+answers["BUSY"]+answers["ERR"] != 12 {
-				t.Errorf("answers %v", answers)
+				t.Errorf("answers %v, want 12 of UP, BUSY and ERR with at least one UP", answers)
 			}
-			checkAttemptCounter(t, s.tries)
+			checkAttemptCounter(t, s.attemptCounter)
 			s.stop()
 		})
 	}
 }
 
-// TestAllMembersFail: with no member that works a request still gets its final answer.
+// TestAllMembersFail: a request gets its final answer even if all members fail.
 func TestAllMembersFail(t *testing.T) {
 	s := newLineRig(t, 2, nil)
-	for _, b := range s.backends {
+	for _, b := range s.members {
 		b.SetMode("err")
 	}
 	c := s.openFlow(1, "")
 	if answer := c.line(); !strings.HasPrefix(answer, "BUSY") && answer != "ERR" {
-		t.Errorf("answer %q", answer)
+		t.Errorf("answered %q, want BUSY or ERR", answer)
 	}
 	c.wantLine(io.EOF.Error())
-	checkAttemptCounter(t, s.tries)
+	checkAttemptCounter(t, s.attemptCounter)
 }
 
-// TestSilentMember: a member that receives a request and does not answer must not keep it beyond the client's deadline.
+// TestSilentMember: a member that receives a request and never answers must not keep it beyond the
+// client's deadline. The client gets its final answer.
 func TestSilentMember(t *testing.T) {
 	s := newLineRig(t, 2, nil)
-	for _, b := range s.backends {
+	for _, b := range s.members {
 		b.SetMode("silent")
 	}
 	c := s.openFlow(1, "")
 	if answer := c.line(); !strings.HasPrefix(answer, "BUSY") && answer != "ERR" {
-		t.Errorf("answer %q", answer)
+		t.Errorf("answered %q, want BUSY or ERR", answer)
 	}
-	checkAttemptCounter(t, s.tries)
+	checkAttemptCounter(t, s.attemptCounter)
 }
 
-// TestDrain: when a member drains, its clients are moved between two lines, and new ones go elsewhere.
+// TestDrain: when a member drains, its clients get MOVE between two lines, and new flows go to other
+// members.
 func TestDrain(t *testing.T) {
 	s := newLineRig(t, 3, nil)
-	held := map[*backend][]*client{}
+	flows := map[*fakeMember][]*client{}
 	for n := range 12 {
 		c := s.openFlow(n, "")
 		b := s.memberOfFlow(c.wantLine("UP "))
-		held[b] = append(held[b], c)
+		flows[b] = append(flows[b], c)
 	}
-	var leaving *backend
-	for b := range held {
-		leaving = b
+	var drained *fakeMember
+	for b := range flows {
+		drained = b
 	}
-	s.d.SetLifecycle(leaving.id, "DRAINING")
-	for _, c := range held[leaving] {
+	s.d.SetLifecycle(drained.id, "DRAINING")
+	for _, c := range flows[drained] {
 		c.wantLine("MOVE")
 		c.wantLine(io.EOF.Error())
 	}
-	waitFor(t, "the member to be left", func() bool { return leaving.OpenFlows() == 0 })
+	waitFor(t, "the draining member to have no flows", func() bool { return drained.OpenFlows() == 0 })
 	for n := range 12 {
 		c := s.openFlow(100+n, "")
-		if b := s.memberOfFlow(c.wantLine("UP ")); b == leaving {
-			t.Error("sent to a draining member")
+		if b := s.memberOfFlow(c.wantLine("UP ")); b == drained {
+			t.Errorf("request %d went to the draining member", 100+n)
 		}
 	}
-	for b, clients := range held {
+	for b, clients := range flows {
 		for _, c := range clients {
-			if b != leaving {
+			if b != drained {
 				c.send("still here")
 				c.wantLine("LOAD ")
 				c.wantLine("GOT 1 still here")
 			}
 		}
 	}
-	checkAttemptCounter(t, s.tries)
+	checkAttemptCounter(t, s.attemptCounter)
 	s.stop()
 }
 
-// TestResumeFlow: a client that resumes a flow goes to the member that has it.
+// TestResumeFlow: a client that resumes a flow is sent to the member that it names in the field at.
 func TestResumeFlow(t *testing.T) {
 	s := newLineRig(t, 3, nil)
-	for n, b := range s.backends {
+	for n, b := range s.members {
 		c := s.openFlow(n, ",at="+b.id)
 		if got := s.memberOfFlow(c.wantLine("UP ")); got != b {
-			t.Errorf("went to %s instead of %s", got.id, b.id)
+			t.Errorf("the flow went to %s, want %s", got.id, b.id)
 		}
 	}
 	c := s.openFlow(9, ",at=s-ffffffff")
 	c.wantLine("ERR")
 }
 
-// TestTerminate: on SIGTERM every client with an open flow gets MOVE, new requests are answered, a front sees that the relay is
-// not ready, and the program exits.
+// TestTerminate: on a signal to end, each client with an open flow gets MOVE, new requests are rejected,
+// PING is answered ERR, and the program exits without an error.
 func TestTerminate(t *testing.T) {
 	s := newLineRig(t, 2, nil)
-	held := s.openFlows(10)
+	flows := s.openFlows(10)
 	front, late := s.dial(), s.dial()
 	front.send("PING")
 	front.wantLine("PONG")
@@ -217,26 +219,27 @@
 	late.send("OPEN 00000000000000aa 00000000000000bb c=pay-status,t=water,d=2000")
 	late.wantLine("BUSY ")
 	late.wantLine(io.EOF.Error())
-	wantMoved(held...)
+	wantMoved(flows...)
 	if err := <-s.done; err != nil {
-		t.Errorf("ended with %v", err)
+		t.Errorf("the relay ended with %v, want exit code 0", err)
 	}
-	checkAttemptCounter(t, s.tries)
+	checkAttemptCounter(t, s.attemptCounter)
 }
 
-// TestConnectionEnds: an end is answered in its manner, politely or by a reset, both ways.
+// TestConnectionEnds: when one side of a flow ends its connection, the relay ends the other side in the
+// same manner: by an orderly close or by a reset.
 func TestConnectionEnds(t *testing.T) {
 	s := newLineRig(t, 1, nil)
-	b := s.backends[0]
+	b := s.members[0]
 	c := s.openFlow(1, "")
 	c.wantLine("UP ")
 	c.Conn.(*net.TCPConn).CloseWrite()
-	waitFor(t, "the member's end", func() bool { return b.OpenFlows() == 0 })
+	waitFor(t, "the flow at the member to end", func() bool { return b.OpenFlows() == 0 })
 	c = s.openFlow(2, "")
 	c.wantLine("UP ")
 	b.EachConnection(func(m net.Conn) { m.(*net.TCPConn).SetLinger(0); m.Close() })
 	if end := c.line(); !strings.Contains(end, "reset") {
-		t.Errorf("a member's reset reached the client as %q", end)
+		t.Errorf("the client read %q after a reset by the member, want a reset", end)
 	}
 	c = s.openFlow(3, "")
 	c.wantLine("UP ")
@@ -246,15 +249,15 @@
 	c.wantLine("UP ")
 	c.Conn.(*net.TCPConn).SetLinger(0)
 	c.Close()
-	waitFor(t, "the member's end", func() bool { return b.OpenFlows() == 0 })
+	waitFor(t, "the flow at the member to end", func() bool { return b.OpenFlows() == 0 })
 	s.stop()
 }
 
-// TestDiscoveryLoss: while discovery is down the relay serves from its cached list and goes on polling; once discovery is back,
-// changes arrive.
+// TestDiscoveryLoss: while discovery is down the relay serves from its cached endpoint list and keeps
+// polling; when discovery is back, changes are delivered.
 func TestDiscoveryLoss(t *testing.T) {
 	s := newLineRig(t, 2, nil)
-	waitFor(t, "the first watch", func() bool { return s.d.Calls() > 0 })
+	waitFor(t, "the first call to discovery", func() bool { return s.d.Calls() > 0 })
 	s.d.SetDown(true)
 	s.waitLogged("discovery call failed")
 	c := s.openFlow(1, "")
@@ -266,9 +269,10 @@
 	s.stop()
 }
 
-// TestReload: on SIGHUP the file is read again. One that cannot be used changes nothing; settings that need a restart are
-// named; discovery's new address takes over with every flow open, also when a second SIGHUP comes before the first new address
-// has answered. Guards against SIGHUP ending the program.
+// TestReload guards against a SIGHUP that ends the program or loses flows. On SIGHUP the relay reads its
+// configuration file again. An invalid file changes nothing, and settings that need a restart are logged.
+// The relay switches to a new discovery address with every flow open, also if a second SIGHUP comes
+// before the first new address has answered.
 func TestReload(t *testing.T) {
 	s := newLineRig(t, 3, nil)
 	c := s.openFlow(1, "")
@@ -281,14 +285,14 @@
 	silent := listen(t, func(net.Conn) { select {} })
 	s.reload(s.d.addr, silent.Addr().String())
 	s.waitLogged("discovery=\"" + silent.Addr().String())
-	gone := s.backends[0]
-	if gone == b { // that flow is to stay
-		gone = s.backends[1]
+	drained := s.members[0]
+	if drained == b { // the flow at b must stay open
+		drained = s.members[1]
 	}
 	var list []member
-	for _, x := range s.backends {
-		m := x.member()
-		if x == gone {
+	for _, x := range s.members {
+		m := x.entry()
+		if x == drained {
 			m.Lifecycle = "DRAINING"
 		}
 		list = append(list, m)
@@ -297,8 +301,8 @@
 	s.reload(silent.Addr().String(), next.addr)
 	waitFor(t, "a watch at the new address", func() bool { return next.Calls() > 1 })
 	for n := range 12 {
-		if s.memberOfFlow(s.openFlow(100+n, "").wantLine("UP ")) == gone {
-			t.Error("sent to a member that the new address says is draining")
+		if s.memberOfFlow(s.openFlow(100+n, "").wantLine("UP ")) == drained {
+			t.Errorf("request %d went to a member that is draining by the list at the new address", 100+n)
 		}
 	}
 	next.SetLifecycle(b.id, "DRAINING")
@@ -308,7 +312,8 @@
 	s.stop()
 }
 
-// TestBadInput: an invalid first line gets an error answer and never reaches a member; the relay goes on.
+// TestBadInput: an invalid first line is answered ERR and never reaches a member, and the relay goes on
+// serving.
 func TestBadInput(t *testing.T) {
 	s := newLineRig(t, 1, nil)
 	for _, first := range []string{
@@ -334,26 +339,27 @@
 		c := s.dial()
 		io.WriteString(c, first+"\r\n")
 		if answer := c.line(); answer != "ERR" {
-			t.Errorf("%.60q was answered %q", first, answer)
+			t.Errorf("first line %.60q was answered %q, want ERR", first, answer)
 		}
 	}
 	s.openFlow(1, "").wantLine("UP ")
-	if lines := s.backends[0].firstLines(); len(lines) != 1 {
-		t.Errorf("members got %q", lines)
+	if lines := s.members[0].firstLines(); len(lines) != 1 {
+		t.Errorf("the member got the first lines %q, want one", lines)
 	}
 	s.stop()
 }
 
-// TestBadConfig: a configuration that cannot be used ends with a plain error.
+// TestBadConfig: with an invalid configuration, serve and check end with an error message and no stack
+// trace.
 func TestBadConfig(t *testing.T) {
 	dir := t.TempDir()
 	for name, text := range map[string]string{
-		"no JSON":     `{"name":`,
-		"no settings": `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1"}`,
-		"no address":  `{"listen":"here","discovery":"127.0.0.1:1","settings":` + settingsText + `}`,
-		"no classes":  `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":{}}`,
-		"odd list":    `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","known":{"instances":7},"settings":` + settingsText + `}`,
-		"odd seed":    `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"q","settings":` + settingsText + `}`,
+		"invalid JSON":           `{"name":`,
+		"no settings":            `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1"}`,
+		"invalid listen address": `{"listen":"here","discovery":"127.0.0.1:1","settings":` + settingsText + `}`,
+		"no classes":             `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":{}}`,
+		"invalid endpoint list":  `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","known":{"instances":7},"settings":` + settingsText + `}`,
+		"invalid seed":           `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"q","settings":` + settingsText + `}`,
 	} {
 		t.Run(name, func(t *testing.T) {
 			path := filepath.Join(dir, "config.json")
@@ -361,20 +367,20 @@
 				t.Fatal(err)
 			}
 			for _, sub := range []string{"serve", "check"} {
-				out, err := run(sub, "--config", path)
+				out, err := runCommand(sub, "--config", path)
 				if err == nil || !strings.Contains(out, "invalid configuration") || strings.Contains(out, "goroutine") {
-					t.Errorf("%s: %v, %s", sub, err, out)
+					t.Errorf("%s: error %v, output %q, want an error and the text \"invalid configuration\"", sub, err, out)
 				}
 			}
 		})
 	}
-	if out, err := run("version"); err != nil || !strings.HasPrefix(out, "dahliarudder ") {
-		t.Errorf("version: %s, %v", out, err)
+	if out, err := runCommand("version"); err != nil || !strings.HasPrefix(out, "dahliarudder ") {
+		t.Errorf("version: output %q, error %v", out, err)
 	}
 }
 
-// TestDescriptorLimit: with few descriptors left, clients are rejected before accepting or
-// connecting fails, and the relay recovers when they go.
+// TestDescriptorLimit: when few descriptors are left, the relay rejects clients before accept or connect
+// fails, and it accepts requests again when clients leave.
 func TestDescriptorLimit(t *testing.T) {
 	s := newLineRig(t, 1, map[string]any{"limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": 100}})
 	var clients []*client
@@ -388,27 +394,28 @@
 		case strings.HasPrefix(answer, "BUSY "):
 			busy++
 		default:
-			t.Fatalf("answer %q", answer)
+			t.Fatalf("answered %q, want UP or BUSY", answer)
 		}
 	}
 	if up == 0 || busy == 0 {
-		t.Errorf("%d up, %d busy", up, busy)
+		t.Errorf("%d requests accepted and %d rejected, want some of each", up, busy)
 	}
 	for _, c := range clients {
 		c.Close()
 	}
-	waitFor(t, "the flows' end", func() bool { return s.backends[0].OpenFlows() == 0 })
+	waitFor(t, "all flows at the member to end", func() bool { return s.members[0].OpenFlows() == 0 })
 	n := 1000
-	waitFor(t, "room", func() bool { n++; return strings.HasPrefix(s.openFlow(n, "").line(), "UP ") })
+	waitFor(t, "a request to be accepted", func() bool { n++; return strings.HasPrefix(s.openFlow(n, "").line(), "UP ") })
 	s.stop()
 }
 
-// TestIdleConnectionFlood: more connections than there are descriptors, which send nothing or one PING and stay, do not keep
-// usual clients out. Guards against a relay that keeps them until its descriptors are exhausted.
+// TestIdleConnectionFlood guards against idle connections that exhaust the descriptors. More clients
+// connect than there are descriptors; they send nothing, or one PING, and stay. Requests of other clients
+// must be served all the same.
 func TestIdleConnectionFlood(t *testing.T) {
 	s := newLineRig(t, 1, map[string]any{"limits": map[string]any{"cores": 1, "memory_mb": 32, "sockets": 100}})
-	held := s.openFlow(1, "")
-	held.wantLine("UP ")
+	flow := s.openFlow(1, "")
+	flow.wantLine("UP ")
 	for n := range 250 {
 		if c := s.dial(); n%2 == 0 {
 			c.send("PING")
@@ -418,23 +425,23 @@
 	for n := range 10 {
 		s.openFlow(100+n, "").wantLine("UP ")
 	}
-	held.send("still here")
-	held.wantLine("LOAD ")
-	held.wantLine("GOT 1 still here")
+	flow.send("still here")
+	flow.wantLine("LOAD ")
+	flow.wantLine("GOT 1 still here")
 	s.stop()
 }
 
-// TestCounts: with counts_ms each relay logs what it counted in each span, and the
-// spans add up to what happened.
+// TestCounts: with counts_ms set, the relay logs its counts at that interval, and their sum over the
+// intervals is what happened.
 func TestCounts(t *testing.T) {
 	s := newLineRig(t, 2, map[string]any{"counts_ms": 100})
 	for n := range 5 {
 		s.openFlow(n, "").wantLine("UP ")
 	}
-	sum := regexp.MustCompile(`msg=counts at=[0-9.]+ attempts=\d+ barred=\d+ failed=\d+ left=\d+ moves=\d+ rejected=\d+ requests=(\d+)`)
-	waitFor(t, "five requests counted", func() bool {
+	countsLine := regexp.MustCompile(`msg=counts at=[0-9.]+ attempts=\d+ barred=\d+ failed=\d+ left=\d+ moves=\d+ rejected=\d+ requests=(\d+)`)
+	waitFor(t, "the logged counts to add up to five requests", func() bool {
 		n := 0
-		for _, m := range sum.FindAllStringSubmatch(s.relay.log.String(), -1) {
+		for _, m := range countsLine.FindAllStringSubmatch(s.relay.log.String(), -1) {
 			k, _ := strconv.Atoi(m[1])
 			n += k
 		}
--- a/integration/nats_conformance_own_test.go
+++ b/integration/nats_conformance_own_test.go
@@ -30,7 +30,7 @@
 // nodeClient connects a library client directly to a node, where it acts as a service.
 func (s *conformanceRig) nodeClient(t *testing.T) *nats.Conn {
 	t.Helper()
-	c, err := nats.Connect("nats://"+s.k.Nodes[0].Addr, nats.Timeout(patience))
+	c, err := nats.Connect("nats://"+s.k.Nodes[0].Addr, nats.Timeout(eventTimeout))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -79,7 +79,7 @@
 		t.Errorf("JetStream publish acknowledged with %+v, want sequence 7", ack)
 	}
 	sub := must[*nats.Subscription](t)(js.PullSubscribe("orders.*", "work", nats.Bind("ORDERS", "work")))
-	for i, m := range must[[]*nats.Msg](t)(sub.Fetch(2, nats.MaxWait(patience))) {
+	for i, m := range must[[]*nats.Msg](t)(sub.Fetch(2, nats.MaxWait(eventTimeout))) {
 		if string(m.Data) != fmt.Sprint("order ", i+1) {
 			t.Errorf("message %d = %q, want %q", i, m.Data, fmt.Sprint("order ", i+1))
 		}
@@ -130,8 +130,8 @@
 		if e == nil || string(e.Value()) != "12" {
 			t.Errorf("key-value update = %+v, want value 12", e)
 		}
-	case <-time.After(patience):
-		t.Errorf("no key-value update within %v", patience)
+	case <-time.After(eventTimeout):
+		t.Errorf("no key-value update within %v", eventTimeout)
 	}
 }
 
@@ -150,7 +150,7 @@
 
 // connectError connects with the library and returns the error, or nil if the relay admits the client.
 func (s *conformanceRig) connectError(options ...nats.Option) error {
-	c, err := nats.Connect("nats://"+s.addrs["nats"], append(options, nats.Timeout(patience), nats.NoReconnect())...)
+	c, err := nats.Connect("nats://"+s.addrs["nats"], append(options, nats.Timeout(eventTimeout), nats.NoReconnect())...)
 	if err == nil {
 		c.Close()
 	}
@@ -217,8 +217,8 @@
 		s.stop()
 		select {
 		case <-lame:
-		case <-time.After(patience):
-			t.Errorf("the client saw no lame duck notice within %v", patience)
+		case <-time.After(eventTimeout):
+			t.Errorf("the client saw no lame duck notice within %v", eventTimeout)
 		}
 	})},
 	{name: "user and password, token", lib: withFront(map[string]any{"auth": map[string]any{"users": []any{
@@ -285,7 +285,7 @@
 				c.Publish("secret", big)
 			}
 			for range 50 {
-				if m := must[*nats.Msg](t)(sub.NextMsg(patience)); len(m.Data) != len(big) {
+				if m := must[*nats.Msg](t)(sub.NextMsg(eventTimeout)); len(m.Data) != len(big) {
 					t.Fatalf("received a message of %d bytes, want %d", len(m.Data), len(big))
 				}
 			}
@@ -344,7 +344,7 @@
 		c := s.libraryClient(t, nats.UserInfo("ann", "one"))
 		sub := must[*nats.Subscription](t)(c.SubscribeSync("by.tls"))
 		c.Publish("by.tls", []byte("x"))
-		must[*nats.Msg](t)(sub.NextMsg(patience))
+		must[*nats.Msg](t)(sub.NextMsg(eventTimeout))
 		mu.Lock()
 		defer mu.Unlock()
 		if len(logins) != 1 || !logins["relayword<nil>"] {
@@ -398,8 +398,8 @@
 			if err == nil || !strings.Contains(strings.ToLower(err.Error()), strings.ToLower(want)) {
 				t.Errorf("the library reported the error %v, want one with %q", err, want)
 			}
-		case <-time.After(patience):
-			t.Errorf("the library reported no error within %v, want one with %q", patience, want)
+		case <-time.After(eventTimeout):
+			t.Errorf("the library reported no error within %v, want one with %q", eventTimeout, want)
 		}
 	}
 }
--- a/integration/nats_load_test.go
+++ b/integration/nats_load_test.go
@@ -43,7 +43,7 @@
 			r := natsRelay(t, k, front)
 			var mu sync.Mutex
 			rejected, got := 0, 0
-			c, err := nats.Connect("nats://"+r.addrs["nats"], nats.Timeout(patience), nats.ErrorHandler(func(_ *nats.Conn, _ *nats.Subscription, err error) {
+			c, err := nats.Connect("nats://"+r.addrs["nats"], nats.Timeout(eventTimeout), nats.ErrorHandler(func(_ *nats.Conn, _ *nats.Subscription, err error) {
 				mu.Lock()
 				rejected++
 				t.Log(err)
@@ -67,7 +67,7 @@
 					t.Fatal(err)
 				}
 			}
-			if err := c.FlushTimeout(patience); err != nil {
+			if err := c.FlushTimeout(eventTimeout); err != nil {
 				t.Fatal(err)
 			}
 			waitFor(t, "all messages to arrive", func() bool { mu.Lock(); defer mu.Unlock(); return got == publications })
--- a/integration/nats_test.go
+++ b/integration/nats_test.go
@@ -42,7 +42,7 @@
 // connect returns a connected client of the NATS library that does not reconnect.
 func (s *natsRig) connect(options ...nats.Option) *nats.Conn {
 	s.t.Helper()
-	options = append(options, nats.Timeout(patience), nats.NoReconnect(),
+	options = append(options, nats.Timeout(eventTimeout), nats.NoReconnect(),
 		nats.ErrorHandler(func(*nats.Conn, *nats.Subscription, error) {}))
 	c, err := nats.Connect("nats://"+s.addrs["nats"], options...)
 	if err != nil {
@@ -65,7 +65,7 @@
 
 func (s *natsRig) flush(c *nats.Conn) {
 	s.t.Helper()
-	if err := c.FlushTimeout(patience); err != nil {
+	if err := c.FlushTimeout(eventTimeout); err != nil {
 		s.t.Fatal(err)
 	}
 }
@@ -83,16 +83,16 @@
 	if err := b.PublishMsg(m); err != nil {
 		t.Fatal(err)
 	}
-	got := must[*nats.Msg](t)(sub.NextMsg(patience))
+	got := must[*nats.Msg](t)(sub.NextMsg(eventTimeout))
 	if got.Subject != "status.one" || string(got.Data) != "paid" || got.Header.Get("Trace") != "7" {
 		t.Errorf("got message %+v, want subject status.one, data paid and header Trace: 7", got)
 	}
 	must[*nats.Subscription](t)(a.Subscribe("refund.check", func(m *nats.Msg) { m.Respond(append([]byte("yes "), m.Data...)) }))
 	s.flush(a)
-	if got := must[*nats.Msg](t)(b.Request("refund.check", []byte("42"), patience)); string(got.Data) != "yes 42" {
+	if got := must[*nats.Msg](t)(b.Request("refund.check", []byte("42"), eventTimeout)); string(got.Data) != "yes 42" {
 		t.Errorf("reply = %q, want %q", got.Data, "yes 42")
 	}
-	if _, err := b.Request("refund.nobody", nil, patience); !errors.Is(err, nats.ErrNoResponders) {
+	if _, err := b.Request("refund.nobody", nil, eventTimeout); !errors.Is(err, nats.ErrNoResponders) {
 		t.Errorf("request without a responder: error %v, want %v", err, nats.ErrNoResponders)
 	}
 	shared := make(chan *nats.Msg, 100)
@@ -109,8 +109,8 @@
 		select {
 		case m := <-shared:
 			seen[string(m.Data)]++
-		case <-time.After(patience):
-			t.Fatalf("%d of 20 jobs arrived within %v", len(seen), patience)
+		case <-time.After(eventTimeout):
+			t.Fatalf("%d of 20 jobs arrived within %v", len(seen), eventTimeout)
 		}
 	}
 	if len(seen) != 20 || len(shared) != 0 {
@@ -123,8 +123,8 @@
 		b.Publish("few", fmt.Append(nil, "few ", i))
 	}
 	s.flush(b)
-	must[*nats.Msg](t)(few.NextMsg(patience))
-	must[*nats.Msg](t)(few.NextMsg(patience))
+	must[*nats.Msg](t)(few.NextMsg(eventTimeout))
+	must[*nats.Msg](t)(few.NextMsg(eventTimeout))
 	waitFor(t, "the nodes to have no subscription to few", func() bool { return fmt.Sprint(s.k.Subscriptions("few")) == "[0 0 0]" })
 	if err := b.Publish("status.big", make([]byte, 70000)); !errors.Is(err, nats.ErrMaxPayload) {
 		t.Errorf("publishing a payload over the limit: error %v, want %v", err, nats.ErrMaxPayload)
@@ -165,7 +165,7 @@
 	for n := range 8 {
 		select {
 		case <-got:
-		case <-time.After(patience):
+		case <-time.After(eventTimeout):
 			t.Fatalf("%d of 8 messages arrived after the drain", n)
 		}
 	}
@@ -260,8 +260,8 @@
 	for what, ch := range map[string]chan bool{"the lame duck notice": lame, "the end of its connection": closed} {
 		select {
 		case <-ch:
-		case <-time.After(patience):
-			t.Errorf("the client did not see %s within %v", what, patience)
+		case <-time.After(eventTimeout):
+			t.Errorf("the client did not see %s within %v", what, eventTimeout)
 		}
 	}
 }
@@ -282,7 +282,7 @@
 	control := must[*nats.Subscription](t)(c.SubscribeSync("_dahlia.control.one"))
 	call := func(subject, text string) processorVerdict {
 		t.Helper()
-		m := must[*nats.Msg](t)(c.Request("_dahlia."+subject, []byte(text), patience))
+		m := must[*nats.Msg](t)(c.Request("_dahlia."+subject, []byte(text), eventTimeout))
 		var v processorVerdict
 		if err := json.Unmarshal(m.Data, &v); err != nil {
 			t.Fatal(err)
@@ -323,7 +323,7 @@
 	s.d.SetLifecycle(open.Member, "DRAINING")
 	wantControl := func(want string) {
 		t.Helper()
-		m := must[*nats.Msg](t)(control.NextMsg(patience))
+		m := must[*nats.Msg](t)(control.NextMsg(eventTimeout))
 		if !strings.Contains(string(m.Data), `"verdict":"`+want+`"`) {
 			t.Fatalf("control message = %s, want verdict %s", m.Data, want)
 		}
@@ -337,7 +337,7 @@
 	if v := call("pick", `{"class":"unheard-of"}`); v.Verdict != "error" {
 		t.Errorf("pick with an unknown class got verdict %+v, want error", v)
 	}
-	if _, err := c.Request("_dahlia.nothing", nil, patience); !errors.Is(err, nats.ErrNoResponders) {
+	if _, err := c.Request("_dahlia.nothing", nil, eventTimeout); !errors.Is(err, nats.ErrNoResponders) {
 		t.Errorf("request on an unknown reserved subject: error %v, want %v", err, nats.ErrNoResponders)
 	}
 	c.Close()
@@ -382,7 +382,7 @@
 // certificates, over TLS, for its configured users.
 func TestDeployed(t *testing.T) {
 	dir := t.TempDir()
-	if out, err := run("keys", "certificate", "--dir", filepath.Join(dir, "tls")); err != nil {
+	if out, err := runCommand("keys", "certificate", "--dir", filepath.Join(dir, "tls")); err != nil {
 		t.Fatalf("keys certificate: %v, output %s", err, out)
 	}
 	k := newCluster(t, 2)
@@ -396,13 +396,13 @@
 	}
 	path := filepath.Join(dir, "nats.json")
 	writeFile(t, path, text)
-	if out, err := run("check", "--config", path); err != nil {
+	if out, err := runCommand("check", "--config", path); err != nil {
 		t.Fatalf("check of the configuration: %v, output %s", err, out)
 	}
 	r := start(t, path, 1)
 	ca := nats.RootCAs(filepath.Join(dir, "tls", "ca.pem"))
 	connect := func(user, word string) (*nats.Conn, error) {
-		return nats.Connect("nats://"+r.addrs["nats"], ca, nats.UserInfo(user, word), nats.Timeout(patience), nats.NoReconnect())
+		return nats.Connect("nats://"+r.addrs["nats"], ca, nats.UserInfo(user, word), nats.Timeout(eventTimeout), nats.NoReconnect())
 	}
 	desk := must[*nats.Conn](t)(connect("status-desk", "desk-trial"))
 	defer desk.Close()
@@ -414,7 +414,7 @@
 	sub := must[*nats.Subscription](t)(desk.SubscribeSync("status.>"))
 	flush(t, desk)
 	billing.Publish("status.paid", []byte("42"))
-	if m := must[*nats.Msg](t)(sub.NextMsg(patience)); string(m.Data) != "42" {
+	if m := must[*nats.Msg](t)(sub.NextMsg(eventTimeout)); string(m.Data) != "42" {
 		t.Errorf("got message %q, want 42", m.Data)
 	}
 }
@@ -427,7 +427,7 @@
 	first, second := s.connect(nats.CustomInboxPrefix("_dahlia.inbox")), s.connect(nats.CustomInboxPrefix("_dahlia.inbox"))
 	call := func(c *nats.Conn, subject, text string) (v processorVerdict) {
 		t.Helper()
-		m := must[*nats.Msg](t)(c.Request("_dahlia."+subject, []byte(text), patience))
+		m := must[*nats.Msg](t)(c.Request("_dahlia."+subject, []byte(text), eventTimeout))
 		if err := json.Unmarshal(m.Data, &v); err != nil {
 			t.Fatal(err)
 		}
--- a/integration/ready_test.go
+++ b/integration/ready_test.go
@@ -8,40 +8,40 @@
 	"time"
 )
 
-// readyMost is within which nine in ten restarted relays have to be ready.
-const readyMost = 10 * time.Second
+// readyLimit is the time within which nine of ten restarted relays must be ready.
+const readyLimit = 10 * time.Second
 
-// TestReadyInTime: relays that return while discovery is down, slow, crowded or silent, or while their state cannot be read,
-// are all ready in time, with their last list; and they serve.
+// TestReadyInTime: relays that restart while discovery is down, slow, silent or closed, or while their
+// snapshot is damaged, must be ready in time with the list from their configuration, and serve requests.
 func TestReadyInTime(t *testing.T) {
 	t.Parallel()
-	for what, trouble := range map[string]func(t *testing.T, d *discovery, dir string){
-		"down": func(_ *testing.T, d *discovery, _ string) { d.SetDown(true) },
-		"slow": func(_ *testing.T, d *discovery, _ string) { d.SetAnswerDelay(2 * time.Second) },
-		"mute": func(_ *testing.T, d *discovery, _ string) { d.SetAnswerDelay(time.Hour) },
-		"gone": func(_ *testing.T, d *discovery, _ string) { d.Close() },
-		"state": func(t *testing.T, _ *discovery, dir string) {
+	for name, impair := range map[string]func(t *testing.T, d *discovery, dir string){
+		"down":   func(_ *testing.T, d *discovery, _ string) { d.SetDown(true) },
+		"slow":   func(_ *testing.T, d *discovery, _ string) { d.SetAnswerDelay(2 * time.Second) },
+		"silent": func(_ *testing.T, d *discovery, _ string) { d.SetAnswerDelay(time.Hour) },
+		"closed": func(_ *testing.T, d *discovery, _ string) { d.Close() },
+		"damaged snapshot": func(t *testing.T, _ *discovery, dir string) {
 			writeFile(t, filepath.Join(dir, "snapshot"), "half of one")
 		},
 	} {
-		t.Run(what, func(t *testing.T) {
+		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			const relays = 10
-			b := newBackend(t, "s-00000001", nil)
-			d := newDiscovery(t, b.member())
+			b := newFakeMember(t, "s-00000001", nil)
+			d := newDiscovery(t, b.entry())
 			dir := filepath.Join(t.TempDir(), "state")
 			if err := os.Mkdir(dir, 0o700); err != nil {
 				t.Fatal(err)
 			}
 			var all []*relay
-			trouble(t, d, dir)
-			began := time.Now()
+			impair(t, d, dir)
+			startedAt := time.Now()
 			for n := range relays {
-				more := map[string]any{"name": fmt.Sprint("n", n)}
-				if what == "state" {
-					more["state"] = map[string]any{"dir": dir}
+				extra := map[string]any{"name": fmt.Sprint("n", n)}
+				if name == "damaged snapshot" {
+					extra["state"] = map[string]any{"dir": dir}
 				}
-				all = append(all, launch(t, configure(t, d, more)))
+				all = append(all, launch(t, configure(t, d, extra)))
 			}
 			slow := 0
 			for n, r := range all {
@@ -49,13 +49,13 @@
 				c := r.dial()
 				c.send("PING")
 				c.wantLine("PONG")
-				if took := time.Since(began); took > readyMost {
+				if took := time.Since(startedAt); took > readyLimit {
 					slow++
 				}
 				r.openFlow(n, "").wantLine("UP ")
 			}
 			if slow > relays/10 {
-				t.Errorf("%d of %d relays took over %v", slow, relays, readyMost)
+				t.Errorf("%d of %d relays were ready after more than %v, want at most %d", slow, relays, readyLimit, relays/10)
 			}
 		})
 	}
--- a/integration/syscalls_test.go
+++ b/integration/syscalls_test.go
@@ -10,79 +10,109 @@
 	"dahliarudder/internal/fakes"
 )
 
-// troubles is the ways in which the relay's system calls fail for a while, all that Linux documents of them.
-var troubles = map[string][]failing{
-	"none":         nil,
-	"accept":       {{Call: "Accept", Errno: "ENFILE", Part: 0.5}, {Call: "Accept", Errno: "ECONNABORTED", Part: 0.3}, {Call: "Accept", Errno: "EINTR", Part: 0.3}},
-	"accept never": {{Call: "Accept", Errno: "EMFILE"}},
-	"socket":       {{Call: "Socket", Errno: "ENOBUFS", Part: 0.5}, {Call: "Socket", Errno: "ENFILE", Part: 0.5}},
-	"connect":      {{Call: "Connect", Errno: "EADDRNOTAVAIL", Part: 0.5}, {Call: "Connect", Errno: "ENETUNREACH", Part: 0.5}, {Call: "Connect", Errno: "EINTR", Part: 0.5}},
-	"no way":       {{Call: "Connect", Errno: "ENETUNREACH"}},
-	"epoll":        {{Call: "EpollCtl", Errno: "ENOMEM", Part: 0.5}, {Call: "EpollWait", Errno: "EINTR", Part: 0.5}},
-	"bytes":        {{Call: "Read", Short: true}, {Call: "Write", Short: true}},
-	"no memory":    {{Call: "Read", Errno: "ENOMEM", Part: 0.3}, {Call: "Write", Errno: "ENOBUFS", Part: 0.3}, {Call: "Read", Errno: "EINTR", Part: 0.3}, {Call: "Write", Errno: "EAGAIN", Part: 0.3}},
-	"all together": {{Call: "Accept", Errno: "ENOBUFS", Part: 0.2}, {Call: "Socket", Errno: "EMFILE", Part: 0.2}, {Call: "Connect", Errno: "EADDRNOTAVAIL", Part: 0.2}, {Call: "EpollCtl", Errno: "ENOSPC", Part: 0.2}, {Call: "Read", Short: true, Part: 0.3}, {Call: "Write", Short: true, Part: 0.3}, {Call: "Read", Errno: "ENOBUFS", Part: 0.1}, {Call: "Write", Errno: "ENOMEM", Part: 0.1}, {Call: "EpollWait", Errno: "EINTR", Part: 0.3}},
+// faultPlans are ways in which system calls of the relay fail, with errors that Linux documents for them.
+var faultPlans = map[string][]callFault{
+	"none": nil,
+	"accept": {
+		{Call: "Accept", Errno: "ENFILE", Probability: 0.5},
+		{Call: "Accept", Errno: "ECONNABORTED", Probability: 0.3},
+		{Call: "Accept", Errno: "EINTR", Probability: 0.3},
+	},
+	"accept always fails": {{Call: "Accept", Errno: "EMFILE"}},
+	"socket": {
+		{Call: "Socket", Errno: "ENOBUFS", Probability: 0.5},
+		{Call: "Socket", Errno: "ENFILE", Probability: 0.5},
+	},
+	"connect": {
+		{Call: "Connect", Errno: "EADDRNOTAVAIL", Probability: 0.5},
+		{Call: "Connect", Errno: "ENETUNREACH", Probability: 0.5},
+		{Call: "Connect", Errno: "EINTR", Probability: 0.5},
+	},
+	"connect always fails": {{Call: "Connect", Errno: "ENETUNREACH"}},
+	"epoll": {
+		{Call: "EpollCtl", Errno: "ENOMEM", Probability: 0.5},
+		{Call: "EpollWait", Errno: "EINTR", Probability: 0.5},
+	},
+	"short reads and writes": {{Call: "Read", Short: true}, {Call: "Write", Short: true}},
+	"read and write": {
+		{Call: "Read", Errno: "ENOMEM", Probability: 0.3},
+		{Call: "Write", Errno: "ENOBUFS", Probability: 0.3},
+		{Call: "Read", Errno: "EINTR", Probability: 0.3},
+		{Call: "Write", Errno: "EAGAIN", Probability: 0.3},
+	},
+	"all calls": {
+		{Call: "Accept", Errno: "ENOBUFS", Probability: 0.2},
+		{Call: "Socket", Errno: "EMFILE", Probability: 0.2},
+		{Call: "Connect", Errno: "EADDRNOTAVAIL", Probability: 0.2},
+		{Call: "EpollCtl", Errno: "ENOSPC", Probability: 0.2},
+		{Call: "Read", Short: true, Probability: 0.3},
+		{Call: "Write", Short: true, Probability: 0.3},
+		{Call: "Read", Errno: "ENOBUFS", Probability: 0.1},
+		{Call: "Write", Errno: "ENOMEM", Probability: 0.1},
+		{Call: "EpollWait", Errno: "EINTR", Probability: 0.3},
+	},
 }
 
-// TestSystemCalls: a relay's system calls fail for a while. Every request that is accepted meanwhile gets one final answer in
-// time, open flows stay, no member is blamed, and the first request after it is served by its first attempt.
+// TestSystemCalls: some system calls of the relay fail for a while. Every request accepted during that time
+// must get one final answer in time, open flows must stay, and no member must be considered faulty: the
+// first requests afterwards must each need only one attempt.
 func TestSystemCalls(t *testing.T) {
 	t.Parallel()
-	for what, plan := range troubles {
-		t.Run(what, func(t *testing.T) {
+	for name, plan := range faultPlans {
+		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			const members, before, amid, after = 3, 6, 12, 6
-			tries := fakes.NewAttemptCounter()
+			const members, flowsBefore, requestsDuring, requestsAfter = 3, 6, 12, 6
+			counter := fakes.NewAttemptCounter()
 			var list []member
-			var all []*backend
+			var all []*fakeMember
 			for i := range members {
-				b := newBackend(t, fmt.Sprintf("s-%08x", 0x5be2a000+i*0x01234567), tries)
-				all, list = append(all, b), append(list, b.member())
+				b := newFakeMember(t, fmt.Sprintf("s-%08x", 0x5be2a000+i*0x01234567), counter)
+				all, list = append(all, b), append(list, b.entry())
 			}
 			d := newDiscovery(t, list...)
 			r := newFaultyRelay(t, configure(t, d, nil), 1, 0)
-			waitFor(t, "the first watch", func() bool { return d.Calls() > 1 })
-			held := r.descriptors()
-			flows := r.openFlows(before)
+			waitFor(t, "the first watch at discovery", func() bool { return d.Calls() > 1 })
+			descriptorsBefore := r.descriptors()
+			flows := r.openFlows(flowsBefore)
 			r.setFaults(0, plan...)
-			asked := time.Now()
-			var amidst []*client
-			for n := range amid {
-				amidst = append(amidst, r.openFlow(100+n, ""))
+			sentAt := time.Now()
+			var during []*client
+			for n := range requestsDuring {
+				during = append(during, r.openFlow(100+n, ""))
 			}
-			if what == "accept never" || what == "no way" { // nothing of it goes by itself
+			if name == "accept always fails" || name == "connect always fails" { // no request is served before the faults end
 				time.Sleep(drainGrace)
 			} else {
-				for _, c := range amidst[:amid/2] {
-					c.wantAnswerInTime(asked)
+				for _, c := range during[:requestsDuring/2] {
+					c.wantAnswerInTime(sentAt)
 				}
 			}
 			r.setFaults(0)
-			for _, c := range amidst {
-				c.wantAnswerInTime(asked)
+			for _, c := range during {
+				c.wantAnswerInTime(sentAt)
 			}
-			for _, c := range amidst {
+			for _, c := range during {
 				c.Close()
 			}
-			waitFor(t, "room at the members", func() bool {
-				held := 0
+			waitFor(t, "the members to have only the first flows", func() bool {
+				openFlows := 0
 				for _, b := range all {
-					held += b.OpenFlows()
+					openFlows += b.OpenFlows()
 				}
-				return held == before
+				return openFlows == flowsBefore
 			})
 			sent := firstLineCount(all)
-			for n := range after {
+			for n := range requestsAfter {
 				c := r.openFlow(200+n, "")
 				c.wantLine("UP ")
 				flows = append(flows, c)
 			}
-			if more := firstLineCount(all) - sent; more != after {
-				t.Errorf("%d attempts for %d requests after the trouble", more, after)
+			if attempts := firstLineCount(all) - sent; attempts != requestsAfter {
+				t.Errorf("%d attempts for %d requests after the faults, want one each", attempts, requestsAfter)
 			}
 			for _, b := range all {
 				if len(b.firstLines()) == 0 {
-					t.Errorf("%s was never tried", b.id)
+					t.Errorf("member %s got no attempt, want at least one", b.id)
 				}
 			}
 			for _, c := range flows {
@@ -91,36 +121,37 @@
 				c.wantLine("GOT 1 still here")
 				c.Close()
 			}
-			r.waitDescriptorsReleased(held)
-			for _, broken := range tries.Violations() {
-				t.Error(broken)
+			r.waitDescriptorsReleased(descriptorsBefore)
+			for _, violation := range counter.Violations() {
+				t.Error(violation)
 			}
 		})
 	}
 }
 
-// wantAnswerInTime wants one final answer, in time; of a request that was answered already it wants nothing more.
-func (c *client) wantAnswerInTime(asked time.Time) {
+// wantAnswerInTime reads the final answer of a request and checks that it is the only one and in time. If
+// it has already been read it does nothing.
+func (c *client) wantAnswerInTime(sentAt time.Time) {
 	c.t.Helper()
 	if c.finalAnswer != "" {
 		return
 	}
 	c.finalAnswer = c.line()
-	took := time.Since(asked)
+	took := time.Since(sentAt)
 	switch word, _, _ := strings.Cut(c.finalAnswer, " "); word {
 	case "UP":
 	case "BUSY", "ERR":
 		c.wantLine(io.EOF.Error())
 	default:
-		c.t.Errorf("answered %q", c.finalAnswer)
+		c.t.Errorf("answered %q, want UP, BUSY or ERR", c.finalAnswer)
 	}
-	if most := 2900*time.Millisecond + lostAnswerDelay; took > most {
-		c.t.Errorf("%q after %v", c.finalAnswer, took)
+	if limit := 2900*time.Millisecond + lostAnswerDelay; took > limit {
+		c.t.Errorf("answered %q after %v, want at most %v", c.finalAnswer, took, limit)
 	}
 }
 
-// firstLineCount is how many first lines have come to all of them.
-func firstLineCount(all []*backend) (n int) {
+// firstLineCount returns how many first lines the members have received in total.
+func firstLineCount(all []*fakeMember) (n int) {
 	for _, b := range all {
 		n += len(b.firstLines())
 	}
--- a/integration/upgrade_test.go
+++ b/integration/upgrade_test.go
@@ -29,8 +29,8 @@
 		if err != nil {
 			r.t.Errorf("the relay exited with %v, want no error", err)
 		}
-	case <-time.After(patience):
-		r.t.Fatalf("the relay did not exit within %v", patience)
+	case <-time.After(eventTimeout):
+		r.t.Fatalf("the relay did not exit within %v", eventTimeout)
 	}
 }
 
@@ -39,7 +39,7 @@
 // the id of a flow that is open at the first process is refused at the second; only the process that is
 // told to stop exits.
 func TestUpgrade(t *testing.T) {
-	s := newOperatedRig(t, 3, nil)
+	s := newOperatorRig(t, 3, nil)
 	held := s.openFlows(6)
 	quiet, partial, upstream := s.dial(), s.dial(), s.dial()
 	fmt.Fprint(partial, "OPEN 00000000000000aa 00000000000000bb c=pay-sta")
@@ -81,7 +81,7 @@
 	held[0].send("END")
 	held[0].wantLine("BYE")
 	held[0].wantLine(io.EOF.Error())
-	checkAttemptCounter(t, s.tries)
+	checkAttemptCounter(t, s.attemptCounter)
 	third.cmd.Process.Signal(syscall.SIGTERM)
 	wantMoved(all[1:]...)
 	third.waitExit()
@@ -90,13 +90,13 @@
 // TestUpgradeEjections: an ejection lasts through an upgrade, and while there are two processes an
 // operator's call to either one applies to both.
 func TestUpgradeEjections(t *testing.T) {
-	s := newOperatedRig(t, 3, nil)
-	first, second := s.backends[0], s.backends[1]
+	s := newOperatorRig(t, 3, nil)
+	first, second := s.members[0], s.members[1]
 	s.mustPut("/-/backends/" + first.id + "/disable")
 	next := s.startSuccessor(2)
 	next.mustPut("/-/backends/" + second.id + "/disable")
 	n := 100
-	wantNoFlows := func(b *backend) {
+	wantNoFlows := func(b *fakeMember) {
 		t.Helper()
 		for range 15 {
 			n++
@@ -125,12 +125,12 @@
 // stop, changes nothing for the first one, and a later upgrade succeeds. Guards against a relay that
 // gets stuck with its listeners open.
 func TestUpgradeFails(t *testing.T) {
-	s := newOperatedRig(t, 2, nil)
+	s := newOperatorRig(t, 2, nil)
 	c := s.openFlow(1, "")
 	c.wantLine("UP ")
 	bad := filepath.Join(filepath.Dir(s.configPath), "bad.json")
 	writeFile(t, bad, `{"name":"n0"}`)
-	if out, err := run("serve", "--config", bad); err == nil {
+	if out, err := runCommand("serve", "--config", bad); err == nil {
 		t.Errorf("serve with an invalid configuration succeeded, want an error; output %s", out)
 	}
 	for n, end := range []syscall.Signal{syscall.SIGKILL, syscall.SIGTERM} {
@@ -152,7 +152,7 @@
 // TestUpgradeDrain: a drain that an operator starts at the first process, and its end, also apply to the
 // second one.
 func TestUpgradeDrain(t *testing.T) {
-	s := newOperatedRig(t, 2, nil)
+	s := newOperatorRig(t, 2, nil)
 	next := s.startSuccessor(2)
 	upstream := next.dial()
 	s.mustPut("/-/drain")
@@ -168,7 +168,7 @@
 // no process may accept them.
 func TestUpgradeBudget(t *testing.T) {
 	const sockets = 160
-	s := newOperatedRig(t, 2, map[string]any{"limits": map[string]any{"cores": 1, "memory_mb": 32, "sockets": sockets}})
+	s := newOperatorRig(t, 2, map[string]any{"limits": map[string]any{"cores": 1, "memory_mb": 32, "sockets": sockets}})
 	for n := range 20 {
 		s.openFlow(n, "").wantLine("UP ")
 	}
@@ -201,7 +201,7 @@
 
 // TestUpgradeStore: two processes write to one SQLite file, and neither rejects a request because of it.
 func TestUpgradeStore(t *testing.T) {
-	s := newOperatedRig(t, 2, map[string]any{"store": map[string]any{"driver": "sqlite",
+	s := newOperatorRig(t, 2, map[string]any{"store": map[string]any{"driver": "sqlite",
 		"dsn": filepath.Join(t.TempDir(), "record.db")}})
 	next := s.startSuccessor(2)
 	for n := range 10 {
--- a/integration/wall_clock_test.go
+++ b/integration/wall_clock_test.go
@@ -14,24 +14,25 @@
 	"time"
 )
 
-// faultyRelay is a relay that runs under a fault plan: its wall clock is stepped and its system calls fail as the test says. It
-// is the test program of cmd/dahliarudder, which runs as the relay; the built program has no switch for that.
+// faultyRelay is a relay that runs under a fault plan: the test can step its wall clock and make its system
+// calls fail. Its executable is the test binary of cmd/dahliarudder, which runs as the relay; the built
+// program cannot inject faults.
 type faultyRelay struct {
 	*relay
-	file   string
-	number int
+	planPath   string // the file with the fault plan, which the relay reads repeatedly
+	planNumber int    // of the newest plan
 }
 
-// failing is what befalls some of the relay's system calls.
-type failing struct {
-	Call  string  `json:"call"`
-	Errno string  `json:"errno"`
-	Short bool    `json:"short"`
-	Part  float64 `json:"part"`
-	Times int     `json:"times"`
+// callFault is a failure of some of the relay's system calls.
+type callFault struct {
+	Call        string  `json:"call"`  // field of netloop.Syscalls
+	Errno       string  `json:"errno"` // error to return, by name
+	Short       bool    `json:"short"` // Read and Write transfer one byte
+	Probability float64 `json:"part"`  // probability for each call; 0 means every call
+	MaxCount    int     `json:"times"` // how many calls fail; 0 means no limit
 }
 
-// faultyProgram builds that program, once.
+// faultyProgram builds the test binary of cmd/dahliarudder on its first call and returns its path.
 var faultyProgram = sync.OnceValues(func() (string, error) {
 	path := filepath.Join(filepath.Dir(program), "faulty")
 	out, err := exec.Command("go", "test", "-c", "-o", path, "dahliarudder/cmd/dahliarudder").CombinedOutput()
@@ -41,50 +42,53 @@
 	return path, err
 })
 
-// newFaultyRelay starts one whose clock is off by step, with no other fault yet.
+// newFaultyRelay starts a faulty relay whose wall clock is off by step and whose system calls work.
 func newFaultyRelay(t testing.TB, config string, fronts int, step time.Duration) *faultyRelay {
 	t.Helper()
 	path, err := faultyProgram()
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &faultyRelay{file: filepath.Join(t.TempDir(), "fault-plan")}
+	r := &faultyRelay{planPath: filepath.Join(t.TempDir(), "fault-plan")}
 	r.writeFaults(t, step)
-	r.relay = launchProgram(t, path, config, "RELAY_FAULT_PLAN="+r.file)
+	r.relay = launchProgram(t, path, config, "RELAY_FAULT_PLAN="+r.planPath)
 	r.waitServing(fronts)
 	return r
 }
 
-func (r *faultyRelay) writeFaults(t testing.TB, step time.Duration, plan ...failing) {
+// writeFaults writes the next fault plan, and replaces the file in one step.
+func (r *faultyRelay) writeFaults(t testing.TB, step time.Duration, plan ...callFault) {
 	t.Helper()
-	r.number++
-	text, err := json.Marshal(map[string]any{"number": r.number, "step_ms": step.Milliseconds(), "failing": plan})
+	r.planNumber++
+	text, err := json.Marshal(map[string]any{"number": r.planNumber, "step_ms": step.Milliseconds(), "failing": plan})
 	if err == nil {
-		err = os.WriteFile(r.file+".new", text, 0o600)
+		err = os.WriteFile(r.planPath+".new", text, 0o600)
 	}
 	if err == nil {
-		err = os.Rename(r.file+".new", r.file)
+		err = os.Rename(r.planPath+".new", r.planPath)
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
 }
 
-// setFaults has the relay's clock be wrong by step, and its calls fail by the plan, from its return on.
-func (r *faultyRelay) setFaults(step time.Duration, plan ...failing) {
+// setFaults replaces the fault plan: the wall clock is off by step and system calls fail as plan says. It
+// returns once the plan is in effect.
+func (r *faultyRelay) setFaults(step time.Duration, plan ...callFault) {
 	r.t.Helper()
 	r.writeFaults(r.t, step, plan...)
-	r.waitLogged(fmt.Sprintf("fault plan %d in effect", r.number))
+	r.waitLogged(fmt.Sprintf("fault plan %d in effect", r.planNumber))
 }
 
-// TestStateWallStepped: a relay that returns after a step of its wall clock treats its state as being as old as it really is.
-func TestStateWallStepped(t *testing.T) {
+// TestStateAgeClockStepped guards against a snapshot age that depends on the wall clock: the clock is
+// stepped between two processes, and the second must report how old the snapshot really is.
+func TestStateAgeClockStepped(t *testing.T) {
 	t.Parallel()
 	for _, step := range []time.Duration{time.Hour, -time.Hour, 2 * time.Second, -2 * time.Second} {
 		t.Run(step.String(), func(t *testing.T) {
 			t.Parallel()
-			b := newBackend(t, "s-00000001", nil)
-			d := newDiscovery(t, b.member())
+			b := newFakeMember(t, "s-00000001", nil)
+			d := newDiscovery(t, b.entry())
 			dir := filepath.Join(t.TempDir(), "state")
 			config := configure(t, d, map[string]any{"operator": "127.0.0.1:0", "state": map[string]any{"dir": dir, "every_ms": 1000}})
 			first := newFaultyRelay(t, config, 2, 0)
@@ -97,24 +101,24 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			least := time.Since(written.ModTime()) - socketTolerance
+			minAge := time.Since(written.ModTime()) - socketTolerance
 			next := newFaultyRelay(t, config, 2, step)
-			most := time.Since(written.ModTime()) + time.Second // which it may have taken from its making to the disk
+			maxAge := time.Since(written.ModTime()) + time.Second // a snapshot may reach the disk up to 1 s after it is taken
 			answer, err := http.Get("http://" + next.addrs["operator"] + "/-/recovery")
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer answer.Body.Close()
-			var said struct {
+			var recovery struct {
 				From string `json:"from"`
 				Age  int64  `json:"age_ms"`
 			}
 			text, _ := io.ReadAll(answer.Body)
-			if err := json.Unmarshal(text, &said); err != nil {
+			if err := json.Unmarshal(text, &recovery); err != nil {
 				t.Fatal(err)
 			}
-			if age := time.Duration(said.Age) * time.Millisecond; said.From != "snapshot" || age < least || age > most {
-				t.Errorf("came back with %s; the state was %v to %v old", text, least, most)
+			if age := time.Duration(recovery.Age) * time.Millisecond; recovery.From != "snapshot" || age < minAge || age > maxAge {
+				t.Errorf("GET /-/recovery = %s, want a snapshot aged %v to %v", text, minAge, maxAge)
 			}
 		})
 	}
