--- a/integration/fleet_faults_test.go
+++ b/integration/fleet_faults_test.go
@@ -26,11 +26,11 @@
 
 // waitForWithin is waitFor with a time limit of its own, for events that take longer than eventTimeout
 // or for conditions that are expensive to check.
-func waitForWithin(t *testing.T, timeout time.Duration, what string, ok func() bool) {
+func waitForWithin(t *testing.T, timeout time.Duration, event string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(timeout); !ok(); time.Sleep(50 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("timed out after %v waiting for: %s", timeout, what)
+			t.Fatalf("timed out after %v waiting for: %s", timeout, event)
 		}
 	}
 }
@@ -106,7 +106,7 @@
 
 // checkOneOut checks that at most one relay is out, both in each relay's record and by the orders
 // that the relays have logged.
-func (w *rolloutWatch) checkOneOut() {
+func (w *rolloutWatch) checkAtMostOneOut() {
 	w.f.t.Helper()
 	leaving := 0
 	for i, r := range w.f.relays {
@@ -143,7 +143,7 @@
 	w := f.watch("r")
 	other := -1
 	waitForWithin(t, eventTimeout, "one relay to have exited, and another one that is not the leader to be leaving", func() bool {
-		w.checkOneOut()
+		w.checkAtMostOneOut()
 		w.restartExited()
 		l := f.leaderOrNone()
 		if len(w.exits) == 0 || l < 0 || isLeaving(f.relays[l]) {
@@ -162,13 +162,13 @@
 	// so that no relay is ordered to leave twice. If both relays are voters, there is no majority and
 	// no leader until the killed one is back.
 	waitForWithin(t, eventTimeout, "another leader, or the exit of the leaving relay", func() bool {
-		w.checkOneOut()
+		w.checkAtMostOneOut()
 		return f.leaderOrNone() >= 0 || len(f.relays[other].done) > 0
 	})
 	f.start(killed)
 	w.down = -1
 	waitForWithin(t, 2*eventTimeout, "all relays to have exited by order", func() bool {
-		w.checkOneOut()
+		w.checkAtMostOneOut()
 		w.restartExited()
 		return len(w.exits) == 4
 	})
@@ -194,7 +194,7 @@
 	w := f.watch("r")
 	leavingRelay := func() int { return slices.IndexFunc(f.relays, isLeaving) }
 	waitForWithin(t, eventTimeout, "one relay to have exited, and another one to be leaving", func() bool {
-		w.checkOneOut()
+		w.checkAtMostOneOut()
 		w.restartExited()
 		return len(w.exits) > 0 && leavingRelay() >= 0
 	})
@@ -208,7 +208,7 @@
 	}
 	before := w.exits[ordered]
 	waitForWithin(t, 3*eventTimeout, "the release to be completed with 4 relays done", func() bool {
-		w.checkOneOut()
+		w.checkAtMostOneOut()
 		w.restartExited()
 		var a rollout.ReleaseStatus
 		return f.call(3, "GET", "/-/releases/r", nil, &a) == 200 && a.State == rollout.ReleaseCompleted && a.Counts.Done == 4
@@ -250,9 +250,9 @@
 	l := f.waitLeader()
 	f.mustCall(3, "POST", "/-/releases", map[string]any{"name": "m", "kind": "member", "names": []string{"s0", "s1"}})
 	f.logReleaseOnFailure("m")
-	out := func(i int) string { return strings.Join(f.ejectedMembers(i), " ") }
+	ejectedNames := func(i int) string { return strings.Join(f.ejectedMembers(i), " ") }
 	for i := range f.relays {
-		waitFor(t, fmt.Sprintf("n%d to see the first member ejected", i), func() bool { return out(i) != "" })
+		waitFor(t, fmt.Sprintf("n%d to see the first member ejected", i), func() bool { return ejectedNames(i) != "" })
 	}
 	waitDrained := func(name string) {
 		t.Helper()
@@ -265,7 +265,7 @@
 			return false
 		})
 	}
-	first := out(l)
+	first := ejectedNames(l)
 	firstIndex := int(first[1] - '0')
 	waitDrained(first) // from now on its owner may replace it
 	f.isolate(l, true)
@@ -273,7 +273,7 @@
 	f.restartMember(firstIndex)
 	for end := time.Now().Add(6 * time.Second); time.Now().Before(end); time.Sleep(200 * time.Millisecond) {
 		for i := range f.relays {
-			if got := out(i); got != first {
+			if got := ejectedNames(i); got != first {
 				t.Fatalf("n%d has ejected %q during the partition, want %q as before", i, got, first)
 			}
 			if n := f.flowsToMember(i, 1, firstIndex); n > 0 {
@@ -285,7 +285,7 @@
 	f.isolate((l+1)%3, false)
 	other := map[string]string{"s0": "s1", "s1": "s0"}[first]
 	for i := range f.relays {
-		waitFor(t, fmt.Sprintf("n%d to see %s ejected", i, other), func() bool { return out(i) == other })
+		waitFor(t, fmt.Sprintf("n%d to see %s ejected", i, other), func() bool { return ejectedNames(i) == other })
 	}
 	waitDrained(other)
 	f.restartMember(1 - firstIndex)
--- a/integration/fleet_test.go
+++ b/integration/fleet_test.go
@@ -37,12 +37,12 @@
 
 // newFleet starts n relays, of which the first voters relays are voters, and a number of members with
 // unlimited capacity. out is the section "out" of the fleet configuration, the disruption budgets.
-func newFleet(t *testing.T, n, voters, members int, out map[string]any) *fleetRig {
-	return newFleetWithSettings(t, settingsText, n, voters, members, out)
+func newFleet(t *testing.T, n, voters, members int, budgets map[string]any) *fleetRig {
+	return newFleetWithSettings(t, settingsText, n, voters, members, budgets)
 }
 
 // newFleetWithSettings is newFleet with other settings than settingsText.
-func newFleetWithSettings(t *testing.T, settings string, n, voters, members int, out map[string]any) *fleetRig {
+func newFleetWithSettings(t *testing.T, settings string, n, voters, members int, budgets map[string]any) *fleetRig {
 	f := &fleetRig{t: t}
 	var list []member
 	for i := range members {
@@ -77,7 +77,7 @@
 		path := configure(t, f.d, map[string]any{"name": fmt.Sprintf("n%d", i), "operator": "127.0.0.1:0", "seed": fmt.Sprintf("%x", 99+i),
 			"settings": json.RawMessage(strings.Replace(settings, `"balancers":1`, fmt.Sprintf(`"balancers":%d`, n), 1)),
 			"peers":    map[string]any{"listen": gossip[i], "known": gossip[:min(2, n)], "key_file": "key"},
-			"fleet":    map[string]any{"listen": f.recordAddrs[i], "calls": "127.0.0.1:0", "dir": "record", "voters": votes, "reach": reach, "out": out}})
+			"fleet":    map[string]any{"listen": f.recordAddrs[i], "calls": "127.0.0.1:0", "dir": "record", "voters": votes, "reach": reach, "out": budgets}})
 		writeFile(t, filepath.Join(filepath.Dir(path), "key"), fleetKey+"\n")
 		f.conf, f.relays = append(f.conf, path), append(f.relays, nil)
 	}
@@ -102,11 +102,11 @@
 
 // setEverywhere disables or enables a member by calls at relay i until the record has it: without a
 // leader such a call applies to that relay alone.
-func (f *fleetRig) setEverywhere(i int, member string, out bool) {
+func (f *fleetRig) setEverywhere(i int, member string, ejected bool) {
 	f.t.Helper()
-	path := map[bool]string{true: "/disable", false: "/enable"}[out]
+	path := map[bool]string{true: "/disable", false: "/enable"}[ejected]
 	waitFor(f.t, member+path, func() bool {
-		return f.relays[i].call("PUT", "/-/backends/"+member+path) == 200 && slices.Contains(f.ejectedMembers(i), member) == out
+		return f.relays[i].call("PUT", "/-/backends/"+member+path) == 200 && slices.Contains(f.ejectedMembers(i), member) == ejected
 	})
 }
 
--- a/integration/nats_conformance_own_test.go
+++ b/integration/nats_conformance_own_test.go
@@ -138,8 +138,8 @@
 // ---- Clauses that need a relay of their own ----
 
 // minCostHash returns a bcrypt hash of the least cost, which is quick to compute.
-func minCostHash(word string) string {
-	h, _ := bcrypt.GenerateFromPassword([]byte(word), bcrypt.MinCost)
+func minCostHash(password string) string {
+	h, _ := bcrypt.GenerateFromPassword([]byte(password), bcrypt.MinCost)
 	return string(h)
 }
 
--- a/integration/nats_conformance_test.go
+++ b/integration/nats_conformance_test.go
@@ -43,7 +43,7 @@
 	for key, v := range front {
 		set[key] = v
 	}
-	s.relay = start(t, configure(t, s.d, map[string]any{"fronts": map[string]any{"nats": set}, "settings": patientSettings(false)}), 1)
+	s.relay = start(t, configure(t, s.d, map[string]any{"fronts": map[string]any{"nats": set}, "settings": longDeadlineSettings(false)}), 1)
 	return s
 }
 
--- a/integration/nats_load_test.go
+++ b/integration/nats_load_test.go
@@ -16,7 +16,7 @@
 // patientSettings returns settingsText with deadlines so long that no request is rejected for them on
 // a busy machine. With probes false members have no health checks, so that a busy machine cannot have
 // them ejected either.
-func patientSettings(probes bool) json.RawMessage {
+func longDeadlineSettings(probes bool) json.RawMessage {
 	return json.RawMessage(strings.NewReplacer(`"deadline-ms":3000`, `"deadline-ms":25000`, `"deadline-ms":2000`, `"deadline-ms":25000`,
 		`"probes":true`, fmt.Sprintf(`"probes":%v`, probes)).Replace(settingsText))
 }
@@ -30,7 +30,7 @@
 	for key, v := range front {
 		set[key] = v
 	}
-	return start(t, configure(t, d, map[string]any{"fronts": map[string]any{"nats": set}, "settings": patientSettings(true),
+	return start(t, configure(t, d, map[string]any{"fronts": map[string]any{"nats": set}, "settings": longDeadlineSettings(true),
 		"limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": 24000}}), 1)
 }
 
--- a/integration/nats_test.go
+++ b/integration/nats_test.go
@@ -401,8 +401,8 @@
 	}
 	r := start(t, path, 1)
 	ca := nats.RootCAs(filepath.Join(dir, "tls", "ca.pem"))
-	connect := func(user, word string) (*nats.Conn, error) {
-		return nats.Connect("nats://"+r.addrs["nats"], ca, nats.UserInfo(user, word), nats.Timeout(eventTimeout), nats.NoReconnect())
+	connect := func(user, password string) (*nats.Conn, error) {
+		return nats.Connect("nats://"+r.addrs["nats"], ca, nats.UserInfo(user, password), nats.Timeout(eventTimeout), nats.NoReconnect())
 	}
 	desk := must[*nats.Conn](t)(connect("status-desk", "desk-trial"))
 	defer desk.Close()
--- a/integration/upgrade_test.go
+++ b/integration/upgrade_test.go
@@ -40,30 +40,30 @@
 // told to stop exits.
 func TestUpgrade(t *testing.T) {
 	s := newOperatorRig(t, 3, nil)
-	held := s.openFlows(6)
-	quiet, partial, upstream := s.dial(), s.dial(), s.dial()
-	fmt.Fprint(partial, "OPEN 00000000000000aa 00000000000000bb c=pay-sta")
-	upstream.send("PING")
-	upstream.wantLine("PONG")
+	flows := s.openFlows(6)
+	idle, half, front := s.dial(), s.dial(), s.dial()
+	fmt.Fprint(half, "OPEN 00000000000000aa 00000000000000bb c=pay-sta")
+	front.send("PING")
+	front.wantLine("PONG")
 	next := s.startSuccessor(2)
 	if next.addrs["line"] != s.addrs["line"] {
 		t.Fatalf("the successor listens at %s, want %s as the first process", next.addrs["line"], s.addrs["line"])
 	}
 	waitFor(t, "the successor to refuse the id of an open flow", func() bool { return next.openFlow(3, "").line() == "ERR" })
 	s.cmd.Process.Signal(syscall.SIGTERM)
-	fmt.Fprint(partial, "tus,t=water,d=2000\r\n")
-	partial.wantLine("UP ")
-	quiet.send("OPEN 00000000000000ab 00000000000000bb c=pay-status,t=water,d=2000")
-	quiet.wantLine("UP ")
-	upstream.send("PING")
-	upstream.wantLine("PONG")
+	fmt.Fprint(half, "tus,t=water,d=2000\r\n")
+	half.wantLine("UP ")
+	idle.send("OPEN 00000000000000ab 00000000000000bb c=pay-status,t=water,d=2000")
+	idle.wantLine("UP ")
+	front.send("PING")
+	front.wantLine("PONG")
 	for n := range 20 {
 		next.openFlow(100+n, "").wantLine("UP ")
 	}
 	s.waitExit()
 	next.waitLogged("the other process is gone")
 	next.openFlow(3, "").wantLine("ERR") // the open flow with this id was handed over
-	all := append(held, quiet, partial)
+	all := append(flows, idle, half)
 	checkFlows := func(n int) {
 		t.Helper()
 		for _, c := range all {
@@ -78,9 +78,9 @@
 	next.waitExit()
 	checkFlows(2)
 	third.openFlow(200, "").wantLine("UP ")
-	held[0].send("END")
-	held[0].wantLine("BYE")
-	held[0].wantLine(io.EOF.Error())
+	flows[0].send("END")
+	flows[0].wantLine("BYE")
+	flows[0].wantLine(io.EOF.Error())
 	checkAttemptCounter(t, s.attemptCounter)
 	third.cmd.Process.Signal(syscall.SIGTERM)
 	wantMoved(all[1:]...)
@@ -154,11 +154,11 @@
 func TestUpgradeDrain(t *testing.T) {
 	s := newOperatorRig(t, 2, nil)
 	next := s.startSuccessor(2)
-	upstream := next.dial()
+	front := next.dial()
 	s.mustPut("/-/drain")
-	waitFor(t, "the successor to answer PING with ERR during the drain", func() bool { upstream.send("PING"); return upstream.line() == "ERR" })
+	waitFor(t, "the successor to answer PING with ERR during the drain", func() bool { front.send("PING"); return front.line() == "ERR" })
 	s.mustPut("/-/resume")
-	waitFor(t, "the successor to answer PING with PONG after the drain", func() bool { upstream.send("PING"); return upstream.line() == "PONG" })
+	waitFor(t, "the successor to answer PING with PONG after the drain", func() bool { front.send("PING"); return front.line() == "PONG" })
 	next.stop()
 	s.stop()
 }
