--- a/integration/crossing_rig_test.go
+++ b/integration/crossing_rig_test.go
@@ -332,7 +332,8 @@
 	r.t.Helper()
 	for end := time.Now().Add(eventTimeout); r.descriptors() > before; time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			r.t.Fatalf("the relay has %d descriptors, want at most %d; open: %q", r.descriptors(), before, r.describeDescriptors())
+			r.t.Fatalf("the relay has %d open descriptors, want at most %d; open: %q",
+				r.descriptors(), before, r.describeDescriptors())
 		}
 	}
 }
--- a/integration/crossing_signals_test.go
+++ b/integration/crossing_signals_test.go
@@ -123,10 +123,10 @@
 	}
 	defer holder.Close()
 	r := launch(t, configure(t, newDiscovery(t, b.entry()), map[string]any{"listen": addr}))
-	waitFor(t, "the relay to log that its address is in use", func() bool {
+	waitFor(t, "the relay to log something while its address is in use", func() bool {
 		select {
 		case err := <-r.done:
-			t.Fatalf("the relay has ended with %v while its address was in use", err)
+			t.Fatalf("the relay exited with %v while its address was in use, want it to wait", err)
 		default:
 		}
 		c, err := net.Dial("tcp", addr) // reaches the test's listener, not the relay
--- a/integration/crossing_stop_test.go
+++ b/integration/crossing_stop_test.go
@@ -25,7 +25,7 @@
 	wantMoved(c)
 	s.wantTimelyExit(since)
 	if n := s.attemptCount(1); n != 1 {
-		t.Errorf("%d attempts, want 1", n)
+		t.Errorf("%d attempts for the request, want 1", n)
 	}
 }
 
@@ -322,7 +322,7 @@
 			s.waitDescriptorsReleased(before)
 			s.wantTimelyExit(s.terminate())
 			if n := s.attemptCount(1); n != 1 {
-				t.Errorf("%d attempts, want 1", n)
+				t.Errorf("%d attempts for a client that has left, want 1", n)
 			}
 		})
 	}
--- a/integration/crossing_upgrade_test.go
+++ b/integration/crossing_upgrade_test.go
@@ -207,7 +207,10 @@
 	for _, m := range s.members {
 		s.d.SetLifecycle(m.id, "SERVING")
 	}
-	waitFor(s.t, "the successor to accept clients", func() bool { now := s.handoverSocketInode(); return now != 0 && now != before })
+	waitFor(s.t, "the successor to accept clients", func() bool {
+		now := s.handoverSocketInode()
+		return now != 0 && now != before
+	})
 	next.suspend()
 	return next
 }
@@ -392,7 +395,7 @@
 	s.wantTimelyExit(since)
 	next.openFlow(7, "").wantLine("ERR")
 	if n := s.attemptCount(7); n != 1 {
-		t.Errorf("%d attempts, want 1", n)
+		t.Errorf("%d attempts for one request id, want 1", n)
 	}
 	exchangeLine(c, a, "still here")
 	next.stop()
--- a/integration/crossing_watch_test.go
+++ b/integration/crossing_watch_test.go
@@ -267,7 +267,7 @@
 	last := s.lastSendTo(m, c).Sub(at)
 	t.Logf("the last request reached the member %v after it was listed as draining", last.Round(time.Millisecond))
 	if limit := test.deadline + drainGrace + socketTolerance; last > limit {
-		t.Errorf("a request reached the member %v after it was listed as draining, want at most %v", last, limit)
+		t.Errorf("a request reached the draining member %v after it was listed as draining, want at most %v", last, limit)
 	}
 	s.checkAttempts()
 }
--- a/integration/fleet_faults_test.go
+++ b/integration/fleet_faults_test.go
@@ -30,7 +30,7 @@
 	t.Helper()
 	for end := time.Now().Add(timeout); !ok(); time.Sleep(50 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("timed out after %v waiting for: %s", timeout, event)
+			t.Fatalf("timed out after %v waiting for %s", timeout, event)
 		}
 	}
 }
@@ -111,7 +111,7 @@
 	leaving := 0
 	for i, r := range w.f.relays {
 		if n := w.f.unavailableCount(i, w.name); n > 1 {
-			w.f.t.Errorf("n%d's record of release %s has %d relays out, want at most 1", i, w.name, n)
+			w.f.t.Errorf("n%d's record of release %s has %d relays out of service, want at most 1", i, w.name, n)
 		}
 		if isLeaving(r) && i != w.down {
 			leaving++
@@ -142,7 +142,8 @@
 	f.mustCall(3, "POST", "/-/releases", map[string]any{"name": "r", "kind": "relay", "all": true})
 	w := f.watch("r")
 	other := -1
-	waitForWithin(t, eventTimeout, "one relay to have exited, and another one that is not the leader to be leaving", func() bool {
+	const event = "one relay to have exited, and another one that is not the leader to be leaving"
+	waitForWithin(t, eventTimeout, event, func() bool {
 		w.checkAtMostOneOut()
 		w.restartExited()
 		l := f.leaderOrNone()
@@ -215,7 +216,8 @@
 	})
 	for i := range f.relays {
 		if n := w.exits[i]; i != ordered && n != 1 || i == ordered && n != before {
-			t.Errorf("n%d exited %d times by order; want once, and for n%d, killed while leaving, %d times", i, n, ordered, before)
+			t.Errorf("n%d exited %d times by order; want once, and for n%d, killed while leaving, %d times",
+				i, n, ordered, before)
 		}
 	}
 }
@@ -314,7 +316,7 @@
 	f.mustCall(3, "PUT", "/-/releases/o/back", nil)
 	time.Sleep(6 * time.Second) // longer than the relay waits for its flows to drain
 	if a := f.waitRelease(3, "o", rollout.ReleaseRollingBack); a.Counts.Out != 1 {
-		t.Errorf("while the relay is suspended the release has status %+v, want 1 relay out", a)
+		t.Errorf("while the relay is suspended the release has status %+v, want 1 relay out of service", a)
 	}
 	r.cmd.Process.Signal(syscall.SIGCONT)
 	r.waitLogged("fleet: order to leave revoked")
@@ -346,7 +348,7 @@
 		}
 	}
 	if n := f.flowsToMember(3, 24, 0); n == 0 {
-		t.Error("n3, which cannot have learned of the ejection, sends no flows to s0: the test shows nothing")
+		t.Error("n3, which cannot have learned of the ejection, sent no flows to s0, want some: the test shows nothing")
 	}
 	driftRows := func() (all []string) {
 		var a struct {
@@ -374,7 +376,10 @@
 	if n := f.flowsToMember(3, 12, 0); n > 0 {
 		t.Errorf("n3 sent %d flows to s0 after it applied the ejection", n)
 	}
-	waitForWithin(t, 2*eventTimeout, "the drift rows of n3 to disappear", func() bool { last = driftRows(); return len(last) == 0 })
+	waitForWithin(t, 2*eventTimeout, "the drift rows of n3 to disappear", func() bool {
+		last = driftRows()
+		return len(last) == 0
+	})
 }
 
 // TestFleetPausePartitioned: no relay's record reaches another one when an operator pauses a canary at
@@ -408,7 +413,7 @@
 		f.isolate(i, true)
 	}
 	if flows() == 0 {
-		t.Error("no flow reached the canary's member before the pause")
+		t.Error("no flow reached the canary's member before the pause, want some")
 	}
 	paused := time.Now()
 	answered := make(chan int, 1)
@@ -416,7 +421,7 @@
 	waitWeight("map[c:0]")
 	t.Logf("weight zero at all relays after %v", time.Since(paused).Round(time.Millisecond))
 	if k := flows(); k > 0 {
-		t.Errorf("%d flows reached the member of a paused canary", k)
+		t.Errorf("%d flows reached the member of a paused canary, want 0", k)
 	}
 	if code := <-answered; code == 200 {
 		t.Error("PUT pause without a majority = 200, want a failure")
@@ -439,12 +444,12 @@
 	}
 	t.Logf("canaries after the pause was recorded: %+v", a)
 	if k := flows(); k > 0 {
-		t.Errorf("%d flows reached the member of a paused canary after the pause was recorded", k)
+		t.Errorf("%d flows reached the member of a paused canary after the pause was recorded, want 0", k)
 	}
 	f.mustCall(1, "PUT", "/-/canaries/c/resume", nil)
 	waitWeight("map[c:500]")
 	if flows() == 0 {
-		t.Error("no flow reached the canary's member after the resume")
+		t.Error("no flow reached the canary's member after the resume, want some")
 	}
 }
 
@@ -478,8 +483,8 @@
 		t.Errorf("bob's permit for s1 = %+v, want a waiting one with a reason and a retry time", b)
 	}
 	if a.Number != first.Number || b.Number != second.Number || a.Number == b.Number || a.RemainingMS <= 0 {
-		t.Errorf("ann's permit = %+v, first answered with %+v; bob's = %+v, first answered with %+v; want unchanged, different numbers and time left for ann's",
-			a, first, b, second)
+		t.Errorf("ann's permit = %+v, first answered with %+v; bob's = %+v, first answered with %+v; "+
+			"want unchanged, different numbers and time left for ann's", a, first, b, second)
 	}
 	if code := f.call(0, "PUT", fmt.Sprintf("/-/permits/%d/begin", b.Number), nil, nil); code != 409 {
 		t.Errorf("begin of a waiting permit = %d, want 409", code)
@@ -494,7 +499,7 @@
 		return b.State == string(rollout.PermitGranted)
 	})
 	if took < 7*time.Second { // the slow start of the settings above: s0 lacks full capacity until then
-		t.Errorf("bob's permit was granted %v after s0 restarted, while s0 was in slow start", took)
+		t.Errorf("bob's permit was granted %v after s0 restarted, want at least 7 s, the slow start of s0", took)
 	}
 	if b.Number != second.Number {
 		t.Errorf("bob's permit was granted under number %d, want %d as first answered", b.Number, second.Number)
--- a/integration/fleet_test.go
+++ b/integration/fleet_test.go
@@ -105,8 +105,9 @@
 func (f *fleetRig) setEverywhere(i int, member string, ejected bool) {
 	f.t.Helper()
 	path := map[bool]string{true: "/disable", false: "/enable"}[ejected]
-	waitFor(f.t, member+path, func() bool {
-		return f.relays[i].call("PUT", "/-/backends/"+member+path) == 200 && slices.Contains(f.ejectedMembers(i), member) == ejected
+	waitFor(f.t, fmt.Sprintf("the record of n%d to have %s%s", i, member, path), func() bool {
+		return f.relays[i].call("PUT", "/-/backends/"+member+path) == 200 &&
+			slices.Contains(f.ejectedMembers(i), member) == ejected
 	})
 }
 
@@ -398,7 +399,9 @@
 		t.Errorf("n%d sent %d flows to s2, which is ejected there", cut, n)
 	}
 	f.isolate(cut, false)
-	waitFor(t, fmt.Sprintf("the ejection at n%d to be reported as drift", cut), func() bool { return f.localEjections(cut) == 1 })
+	waitFor(t, fmt.Sprintf("the ejection at n%d to be reported as drift", cut), func() bool {
+		return f.localEjections(cut) == 1
+	})
 	f.relays[cut].mustPut("/-/backends/s2/enable")
 	waitFor(t, fmt.Sprintf("the drift of n%d to end", cut), func() bool { return f.localEjections(cut) == 0 })
 }
@@ -459,7 +462,7 @@
 	}
 	f := newFleet(t, n, 3, 4, nil)
 	l := f.waitLeader()
-	waitFor(t, "the leader to have reports of all relays", func() bool {
+	waitFor(t, "the leader to list a report of each relay", func() bool {
 		var a struct{ Relays map[string]any }
 		f.call(l, "GET", "/-/fleet", nil, &a)
 		return len(a.Relays) == n
@@ -475,13 +478,15 @@
 					time.Sleep(5 * time.Millisecond)
 				}
 				if took[i] = time.Since(from); !ok(i) {
-					t.Errorf("%s: n%d did not apply it within %v", what, i, eventTimeout) // the failure logs the relays' output
+					// A failed test also logs the relays' output.
+					t.Errorf("%s: n%d did not apply it within %v", what, i, eventTimeout)
 				}
 			}()
 		}
 		all.Wait()
 		slices.Sort(took)
-		t.Logf("%s: p50 %v, last of %d relays %v", what, took[n/2].Round(time.Millisecond), n, took[n-1].Round(time.Millisecond))
+		t.Logf("%s: p50 %v, last of %d relays %v",
+			what, took[n/2].Round(time.Millisecond), n, took[n-1].Round(time.Millisecond))
 		return took
 	}
 	loggedAgain := func(text string) func(int) bool {
--- a/integration/fleet_voters_test.go
+++ b/integration/fleet_voters_test.go
@@ -47,7 +47,9 @@
 	f.t.Helper()
 	f.setEverywhere(at[0], fmt.Sprintf("s%d", member), true)
 	for _, i := range at {
-		waitFor(f.t, fmt.Sprintf("n%d to have ejected %d members", i, member+1), func() bool { return len(f.ejectedMembers(i)) == member+1 })
+		waitFor(f.t, fmt.Sprintf("n%d to have ejected %d members", i, member+1), func() bool {
+			return len(f.ejectedMembers(i)) == member+1
+		})
 	}
 }
 
@@ -76,7 +78,7 @@
 	for end := time.Now().Add(3 * time.Second); time.Now().Before(end); time.Sleep(50 * time.Millisecond) { // an election takes 1.2 s
 		for _, i := range []int{replaced, a} {
 			if e := f.consensusStatus(i); e.HasQuorum || e.Leader != "" {
-				t.Fatalf("n%d reports a majority or a leader with one of three voters up: %+v", i, e)
+				t.Fatalf("n%d reports %+v with one of three voters up, want no majority and no leader", i, e)
 			}
 		}
 	}
@@ -89,9 +91,12 @@
 	f.eject(1, a, 3, replaced)
 	f.start(b)
 	f.eject(2, replaced, 0, 1, 2, 3)
-	waitFor(t, "the refused release to be answered with 404", func() bool { return f.call(replaced, "GET", "/-/releases/x", nil, nil) == 404 })
+	waitFor(t, "GET of the refused release to be answered with 404", func() bool {
+		return f.call(replaced, "GET", "/-/releases/x", nil, nil) == 404
+	})
 	if e := f.consensusStatus(replaced); e.Role != consensus.RoleFollower || e.Voters[e.Name] != "" {
-		t.Errorf("consensus status of the replaced relay n%d = %+v, want a follower that is not among the voters", replaced, e)
+		t.Errorf("consensus status of the replaced relay n%d = %+v, want a follower that is not among the voters",
+			replaced, e)
 	}
 }
 
--- a/integration/line_test.go
+++ b/integration/line_test.go
@@ -221,7 +221,7 @@
 	late.wantLine(io.EOF.Error())
 	wantMoved(flows...)
 	if err := <-s.done; err != nil {
-		t.Errorf("the relay ended with %v, want exit code 0", err)
+		t.Errorf("the relay exited with %v, want no error", err)
 	}
 	checkAttemptCounter(t, s.attemptCounter)
 }
@@ -375,7 +375,7 @@
 		})
 	}
 	if out, err := runCommand("version"); err != nil || !strings.HasPrefix(out, "dahliarudder ") {
-		t.Errorf("version: output %q, error %v", out, err)
+		t.Errorf("version: output %q, error %v, want output that begins with \"dahliarudder \"", out, err)
 	}
 }
 
@@ -394,18 +394,21 @@
 		case strings.HasPrefix(answer, "BUSY "):
 			busy++
 		default:
-			t.Fatalf("answered %q, want UP or BUSY", answer)
+			t.Fatalf("request %d was answered %q, want UP or BUSY", n, answer)
 		}
 	}
 	if up == 0 || busy == 0 {
-		t.Errorf("%d requests accepted and %d rejected, want some of each", up, busy)
+		t.Errorf("%d requests were accepted and %d rejected, want some of each", up, busy)
 	}
 	for _, c := range clients {
 		c.Close()
 	}
 	waitFor(t, "all flows at the member to end", func() bool { return s.members[0].OpenFlows() == 0 })
 	n := 1000
-	waitFor(t, "a request to be accepted", func() bool { n++; return strings.HasPrefix(s.openFlow(n, "").line(), "UP ") })
+	waitFor(t, "a request to be accepted", func() bool {
+		n++
+		return strings.HasPrefix(s.openFlow(n, "").line(), "UP ")
+	})
 	s.stop()
 }
 
--- a/integration/nats_chaos_test.go
+++ b/integration/nats_chaos_test.go
@@ -124,12 +124,13 @@
 					}
 				}
 				if reported := published.rejected[fmt.Sprint(i)]; lost > reported {
-					t.Errorf("client %d: %d publications were accepted by no member, and only %d were reported as rejected", i, lost, reported)
+					t.Errorf("client %d: %d publications were accepted by no member, but only %d were reported as rejected",
+						i, lost, reported)
 				}
 				rejected += published.rejected[fmt.Sprint(i)]
 			}
 			for _, u := range published.outOfOrder {
-				t.Error("publications of one client and subject out of order: ", u)
+				t.Errorf("publications of one client and subject arrived out of order: %s", u)
 			}
 			accepted := len(published.seen)
 			published.mu.Unlock()
@@ -248,7 +249,9 @@
 			if wrong == 0 {
 				break
 			}
-			if last = fmt.Sprintf("%d subscriptions at the draining node, subscriptions by subject %v", remaining, count); time.Since(drained) > 250*time.Millisecond+allowance {
+			last = fmt.Sprintf("%d subscriptions at the draining node, want 0; subscriptions by subject %v, want one each",
+				remaining, count)
+			if time.Since(drained) > 250*time.Millisecond+allowance {
 				t.Fatalf("%v after the start of the drain: %s", time.Since(drained), last)
 			}
 			time.Sleep(5 * time.Millisecond)
--- a/integration/nats_conformance_own_test.go
+++ b/integration/nats_conformance_own_test.go
@@ -203,7 +203,8 @@
 			line := slow.line()
 			if line == "EOF" || strings.Contains(line, "reset") {
 				if last != "" && last != "-ERR 'Slow Consumer'" && len(last) < 100 {
-					t.Errorf("last line before the slow consumer's connection ended = %q, want -ERR 'Slow Consumer' or a payload", last)
+					t.Errorf("last line before the slow consumer's connection ended = %q, "+
+						"want -ERR 'Slow Consumer' or a payload", last)
 				}
 				return
 			}
@@ -314,7 +315,9 @@
 			writeFile(t, to, string(text))
 		}
 		s.reload()
-		waitFor(t, "the new certificate", func() bool { return s.connectError(nats.RootCAs(next.file)) == nil })
+		waitFor(t, "the relay to use the new certificate", func() bool {
+			return s.connectError(nats.RootCAs(next.file)) == nil
+		})
 		s.wantAdmission(t, false, nats.RootCAs(ca.file))
 		flush(t, connected) // the client that connected before stays connected
 	}},
--- a/integration/nats_conformance_test.go
+++ b/integration/nats_conformance_test.go
@@ -68,7 +68,7 @@
 	c.t.Helper()
 	for _, want := range lines {
 		if got := c.line(); got != want {
-			c.t.Fatalf("got %q, want %q", got, want)
+			c.t.Fatalf("got line %q, want %q", got, want)
 		}
 	}
 }
@@ -132,7 +132,8 @@
 		}
 		if info.ClientID == 0 || info.ClientIP != "127.0.0.1" || info.ServerName == "" || info.ServerID == "" || info.Version == "" || info.Port == 0 ||
 			info.Proto != 1 || len(info.URLs) != 1 || info.MaxPayload != 65536 || !info.Headers || info.LDM {
-			t.Errorf("INFO = %s, want all fields set, proto 1, max_payload 65536, one connect_urls entry, headers and not ldm", line)
+			t.Errorf("INFO = %s, want all fields set, client_ip 127.0.0.1, proto 1, max_payload 65536, "+
+				"one connect_urls entry, headers and not ldm", line)
 		}
 	}},
 	{name: "INFO comes again when members' offers change", raw: func(t *testing.T, s *conformanceRig) {
@@ -160,7 +161,7 @@
 		got := []string{c.line(), c.line(), c.line(), c.line(), c.line()}
 		slices.Sort(got[:4]) // the message may arrive before or after the +OK to its publication
 		if fmt.Sprint(got) != "[+OK +OK MSG v 1 1 x PONG]" {
-			t.Errorf("got %q", got)
+			t.Errorf("got lines %q, want two +OK and MSG v 1 1 with x in any order, then PONG", got)
 		}
 	}},
 	{name: "operations in any case, blanks and tabs", raw: func(t *testing.T, s *conformanceRig) {
@@ -188,7 +189,7 @@
 		c.sendLines("PING")
 		c.wantLines("PONG")
 		if seen.Load() != 100 {
-			t.Errorf("the nodes had accepted %d of 100 publications when PONG arrived", seen.Load())
+			t.Errorf("the nodes had accepted %d of 100 publications when PONG arrived, want all", seen.Load())
 		}
 	}},
 	{name: "headers pass unchanged", raw: func(t *testing.T, s *conformanceRig) {
@@ -226,7 +227,7 @@
 		got := []string{c.line() + c.line(), c.line() + c.line(), c.line() + c.line()}
 		slices.Sort(got)
 		if fmt.Sprint(got) != "[MSG w.a.z 1 11 MSG w.a.z 2 11 MSG w.b 2 12]" {
-			t.Errorf("got %q", got)
+			t.Errorf("got messages %q, want w.a.z for subscriptions 1 and 2, and w.b for 2", got)
 		}
 		c.wantLines("PONG")
 	}},
@@ -242,7 +243,9 @@
 		for range 60 {
 			p.Publish("q.work", nil)
 		}
-		waitFor(t, "each queue group to receive 60 messages", func() bool { return got[0].Load()+got[1].Load() == 60 && got[2].Load() == 60 })
+		waitFor(t, "each queue group to receive 60 messages", func() bool {
+			return got[0].Load()+got[1].Load() == 60 && got[2].Load() == 60
+		})
 		if got[0].Load() == 0 || got[1].Load() == 0 {
 			t.Errorf("the members of group a received %d and %d messages, want some at each", got[0].Load(), got[1].Load())
 		}
@@ -288,7 +291,8 @@
 		d.wantLines("PONG")
 		c.sendLines("PUB e 2", "me", "HPUB e 20 22", "NATS/1.0\r\nTag: 1\r\n\r\nme", "PING")
 		c.wantLines("PONG")
-		d.wantLines("MSG e 1 2", "me", "HMSG e 1 20 22", "NATS/1.0", "Tag: 1", "", "me") // without the header that the relay adds
+		// The header that the relay adds must be removed.
+		d.wantLines("MSG e 1 2", "me", "HMSG e 1 20 22", "NATS/1.0", "Tag: 1", "", "me")
 		d.sendLines("PUB e 3", "you", "PING")
 		c.wantLines("MSG e 1 3", "you")
 	}, lib: func(t *testing.T, s *conformanceRig) {
@@ -297,7 +301,7 @@
 		c.Publish("e.lib", nil)
 		flush(t, c)
 		if n, _, _ := sub.Pending(); n != 0 {
-			t.Errorf("a client with echo off received %d of its own messages", n)
+			t.Errorf("a client with echo off received %d of its own messages, want 0", n)
 		}
 	}},
 	{name: "no_responders for each request that asks", raw: func(t *testing.T, s *conformanceRig) {
@@ -358,7 +362,7 @@
 		sub.Drain()
 		waitFor(t, "the drain of the subscription to end", func() bool { return !sub.IsValid() })
 		if got.Load() != 500 {
-			t.Errorf("%d of 500 messages arrived", got.Load())
+			t.Errorf("%d of 500 messages arrived, want all", got.Load())
 		}
 	}},
 	{name: "drain of a connection", lib: func(t *testing.T, s *conformanceRig) {
@@ -379,7 +383,7 @@
 			t.Fatalf("the connection was not closed within %v of its drain", eventTimeout)
 		}
 		if got.Load() != 500 || c.LastError() != nil {
-			t.Errorf("%d of 500 messages arrived; last error %v, want none", got.Load(), c.LastError())
+			t.Errorf("%d of 500 messages arrived, want all; last error %v, want none", got.Load(), c.LastError())
 		}
 	}},
 	{name: "services API", lib: func(t *testing.T, s *conformanceRig) {
--- a/integration/nats_load_test.go
+++ b/integration/nats_load_test.go
@@ -70,7 +70,11 @@
 			if err := c.FlushTimeout(eventTimeout); err != nil {
 				t.Fatal(err)
 			}
-			waitFor(t, "all messages to arrive", func() bool { mu.Lock(); defer mu.Unlock(); return got == publications })
+			waitFor(t, "all published messages to arrive", func() bool {
+				mu.Lock()
+				defer mu.Unlock()
+				return got == publications
+			})
 			if rejected > 0 {
 				t.Errorf("%d of %d publications were rejected, want none", rejected, publications)
 			}
--- a/integration/nats_test.go
+++ b/integration/nats_test.go
@@ -125,7 +125,9 @@
 	s.flush(b)
 	must[*nats.Msg](t)(few.NextMsg(eventTimeout))
 	must[*nats.Msg](t)(few.NextMsg(eventTimeout))
-	waitFor(t, "the nodes to have no subscription to few", func() bool { return fmt.Sprint(s.k.Subscriptions("few")) == "[0 0 0]" })
+	waitFor(t, "the nodes to have no subscription to few", func() bool {
+		return fmt.Sprint(s.k.Subscriptions("few")) == "[0 0 0]"
+	})
 	if err := b.Publish("status.big", make([]byte, 70000)); !errors.Is(err, nats.ErrMaxPayload) {
 		t.Errorf("publishing a payload over the limit: error %v, want %v", err, nats.ErrMaxPayload)
 	}
@@ -188,17 +190,17 @@
 		}
 	}
 	if n := count("SELECT count(*) FROM requests WHERE tries > 3"); n > 0 {
-		s.t.Errorf("%d requests recorded with more than three attempts", n)
+		s.t.Errorf("%d requests recorded with more than three attempts, want 0", n)
 	}
 	if n := count(`SELECT count(*) FROM attempts a JOIN attempts b ON a.run = b.run AND a.request = b.request
 		AND a.try < b.try AND b.start_us < a.end_us`); n > 0 {
-		s.t.Errorf("%d pairs of overlapping attempts of one request recorded", n)
+		s.t.Errorf("%d pairs of overlapping attempts of one request recorded, want 0", n)
 	}
 	if n := count(`SELECT count(*) FROM attempts a LEFT JOIN requests r ON a.run = r.run AND a.request = r.id WHERE r.id IS NULL`); n > 0 {
-		s.t.Errorf("%d attempts recorded without a final answer of their request", n)
+		s.t.Errorf("%d attempts recorded without a final answer of their request, want 0", n)
 	}
 	if a, t := count("SELECT count(*) FROM attempts"), count("SELECT coalesce(sum(tries), 0) FROM requests"); a != t {
-		s.t.Errorf("%d attempts recorded, but the requests count %d", a, t)
+		s.t.Errorf("%d attempts recorded, want %d, the sum of the requests' tries", a, t)
 	}
 }
 
@@ -239,10 +241,10 @@
 			s.stop()
 			s.checkStored(map[string]int{"served": 1})
 			if n := s.queryCount("SELECT count(*) FROM requests WHERE name LIKE 'PUB job.%'"); n != jobs+1 {
-				t.Errorf("%d final answers recorded for %d publications", n, jobs+1)
+				t.Errorf("%d final answers recorded for %d publications, want one each", n, jobs+1)
 			}
 			if n := s.queryCount("SELECT count(*) FROM attempts WHERE result NOT IN ('ok', 'cancelled')"); n == 0 {
-				t.Error("no attempt failed, so that the test shows no retry")
+				t.Error("no attempt failed, want some: the test shows no retry")
 			}
 		})
 	}
@@ -409,7 +411,7 @@
 	billing := must[*nats.Conn](t)(connect("billing", "billing-trial"))
 	defer billing.Close()
 	if _, err := connect("billing", "desk-trial"); err == nil {
-		t.Error("user billing is admitted with a wrong password")
+		t.Error("user billing was admitted with a wrong password, want an error")
 	}
 	sub := must[*nats.Subscription](t)(desk.SubscribeSync("status.>"))
 	flush(t, desk)
@@ -499,7 +501,9 @@
 			waitFor(t, "the first attempt to reach a node", func() bool { return published() > 0 })
 			c.Conn.(*net.TCPConn).SetLinger(0)
 			c.Close()
-			waitFor(t, "the relay to close its connections to the nodes", func() bool { return k.Nodes[0].Connections()+k.Nodes[1].Connections() == 0 })
+			waitFor(t, "the relay to close its connections to the nodes", func() bool {
+				return k.Nodes[0].Connections()+k.Nodes[1].Connections() == 0
+			})
 			before := published()
 			for _, o := range k.Nodes {
 				o.SetMode(fakes.NodeHealthy)
@@ -509,7 +513,7 @@
 			other.send("CONNECT {}\r\nPUB s 5\r\nstays\r\nPING")
 			other.wantLine("PONG")
 			if n := published() - before; n != 1 {
-				t.Errorf("the nodes accepted %d publications after the client had gone, want only the one of the other client", n)
+				t.Errorf("the nodes accepted %d publications after the client had left, want only the other client's", n)
 			}
 			for _, violation := range k.Attempts.Violations() {
 				t.Error(violation)
--- a/integration/peers_test.go
+++ b/integration/peers_test.go
@@ -187,7 +187,9 @@
 func TestPeersLinks(t *testing.T) {
 	c := newGossipRig(t, 5, true)
 	c.waitAllAlive()
-	waitFor(t, "n0 and n4 to divide the budgets by five", func() bool { return c.peersAnswer(0).Share == 5 && c.peersAnswer(4).Share == 5 })
+	waitFor(t, "n0 and n4 to divide the budgets by five", func() bool {
+		return c.peersAnswer(0).Share == 5 && c.peersAnswer(4).Share == 5
+	})
 	c.cut(2, true, true)
 	c.waitSeen(0, 4, "dead")
 	c.waitSeen(4, 0, "dead")
@@ -325,14 +327,19 @@
 	c.relays[0].reload(c.d.addr, proxy.Addr())
 	c.waitAllAlive()
 	generation := func(i int) uint64 { return c.peersAnswer(i).Self.Generation }
-	waitFor(t, "all relays to have the list of generation 3", func() bool { return generation(0) == 3 && generation(1) == 3 && generation(2) == 3 })
+	waitFor(t, "all relays to have the list of generation 3", func() bool {
+		return generation(0) == 3 && generation(1) == 3 && generation(2) == 3
+	})
 	time.Sleep(200 * time.Millisecond) // until n0 has sent its next call to discovery
 	proxy.Stall()
 	c.d.SetLifecycle(b.id, "DRAINING")
-	waitFor(t, "n0 to have the list of generation 4", func() bool { time.Sleep(50 * time.Millisecond); return generation(0) == 4 })
+	waitFor(t, "n0 to have the list of generation 4", func() bool {
+		time.Sleep(50 * time.Millisecond)
+		return generation(0) == 4
+	})
 	c.relays[0].waitLogged("other relays hold a newer list")
 	if strings.Contains(c.relays[0].log.String(), "no answer in time") {
-		t.Error("n0's own call to discovery timed out before it polled again")
+		t.Error("n0's own call to discovery timed out, want n0 to poll again before that")
 	}
 }
 
@@ -383,7 +390,8 @@
 		}
 	}
 	slices.Sort(took)
-	t.Logf("%d of %d relays reported the killed one; p50 %v, last %v", len(took), n-1, took[len(took)/2], took[len(took)-1])
+	t.Logf("%d of %d relays reported the killed one; p50 %v, last %v",
+		len(took), n-1, took[len(took)/2], took[len(took)-1])
 	usage, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", c.relays[0].cmd.Process.Pid))
 	for line := range strings.Lines(string(usage)) {
 		if strings.HasPrefix(line, "VmRSS") {
--- a/integration/rig_test.go
+++ b/integration/rig_test.go
@@ -304,13 +304,13 @@
 // waitServing waits until the given number of fronts listen, and records their addresses.
 func (r *relay) waitServing(fronts int) {
 	r.t.Helper()
-	waitFor(r.t, "the relay to serve", func() bool {
+	waitFor(r.t, fmt.Sprintf("the relay to serve %d fronts", fronts), func() bool {
 		for _, m := range servingLine.FindAllStringSubmatch(r.log.String(), -1) {
 			r.addrs[m[1]] = m[2]
 		}
 		select {
 		case err := <-r.done:
-			r.t.Fatalf("the relay ended with %v before it served", err)
+			r.t.Fatalf("the relay exited with %v before it served", err)
 		default:
 		}
 		return len(r.addrs) == fronts
@@ -355,7 +355,7 @@
 // waitLogged waits until the relay's log contains text.
 func (r *relay) waitLogged(text string) {
 	r.t.Helper()
-	waitFor(r.t, "the log to contain "+text, func() bool { return strings.Contains(r.log.String(), text) })
+	waitFor(r.t, fmt.Sprintf("the log to contain %q", text), func() bool { return strings.Contains(r.log.String(), text) })
 }
 
 // stop sends SIGTERM and waits until the relay exits, which must be without an error.
@@ -365,10 +365,10 @@
 	select {
 	case err := <-r.done:
 		if err != nil {
-			r.t.Errorf("the relay ended with %v, want exit code 0", err)
+			r.t.Errorf("the relay exited with %v, want no error", err)
 		}
 	case <-time.After(eventTimeout):
-		r.t.Fatalf("the relay did not end within %v after SIGTERM", eventTimeout)
+		r.t.Fatalf("the relay did not exit within %v after SIGTERM", eventTimeout)
 	}
 }
 
--- a/integration/store_test.go
+++ b/integration/store_test.go
@@ -37,10 +37,13 @@
 	attempts := s.members[1].firstLines()
 	s.openFlow(999, "").wantLine("BUSY ")
 	if got := s.members[1].firstLines(); len(got) != len(attempts) {
-		t.Error("a request reached a member while the store could not record it")
+		t.Error("a request reached a member while the store failed, want it rejected")
 	}
 	p.setFailing(false)
-	waitFor(t, "a request to be accepted again", func() bool { n++; return strings.HasPrefix(s.openFlow(n, "").line(), "UP ") })
+	waitFor(t, "a request to be accepted again", func() bool {
+		n++
+		return strings.HasPrefix(s.openFlow(n, "").line(), "UP ")
+	})
 	s.stop()
 	names, tries := map[string]int{}, 0
 	for _, row := range p.tableRows("requests") {
@@ -58,7 +61,7 @@
 		t.Errorf("recorded the requests %v, want each name once and %016x among them", names, 999)
 	}
 	if got := len(p.tableRows("attempts")); got != tries {
-		t.Errorf("%d attempts recorded, but the requests count %d", got, tries)
+		t.Errorf("%d attempts recorded, want %d, the sum of the requests' tries", got, tries)
 	}
 	checkAttemptCounter(t, s.attemptCounter)
 }
--- a/integration/suspend_test.go
+++ b/integration/suspend_test.go
@@ -47,7 +47,7 @@
 		}
 	}
 	if strings.Contains(s.log.String(), "discovery call failed") {
-		t.Error("the relay logged a failed call to discovery, although its answer had arrived")
+		t.Error("the relay logged a failed call to discovery, want none, as its answer had arrived")
 	}
 	checkAttemptCounter(t, s.attemptCounter)
 }
--- a/integration/upgrade_test.go
+++ b/integration/upgrade_test.go
@@ -49,7 +49,9 @@
 	if next.addrs["line"] != s.addrs["line"] {
 		t.Fatalf("the successor listens at %s, want %s as the first process", next.addrs["line"], s.addrs["line"])
 	}
-	waitFor(t, "the successor to refuse the id of an open flow", func() bool { return next.openFlow(3, "").line() == "ERR" })
+	waitFor(t, "the successor to refuse the id of an open flow", func() bool {
+		return next.openFlow(3, "").line() == "ERR"
+	})
 	s.cmd.Process.Signal(syscall.SIGTERM)
 	fmt.Fprint(half, "tus,t=water,d=2000\r\n")
 	half.wantLine("UP ")
@@ -102,7 +104,7 @@
 			n++
 			c := next.openFlow(n, "")
 			if s.memberOfFlow(c.wantLine("UP ")) == b {
-				t.Errorf("a flow was sent to %s, which is ejected", b.id)
+				t.Errorf("a flow went to the ejected member %s", b.id)
 			}
 			c.send("END") // frees the little capacity of the members that are left
 			c.wantLine("BYE")
@@ -156,9 +158,15 @@
 	next := s.startSuccessor(2)
 	front := next.dial()
 	s.mustPut("/-/drain")
-	waitFor(t, "the successor to answer PING with ERR during the drain", func() bool { front.send("PING"); return front.line() == "ERR" })
+	waitFor(t, "the successor to answer PING with ERR during the drain", func() bool {
+		front.send("PING")
+		return front.line() == "ERR"
+	})
 	s.mustPut("/-/resume")
-	waitFor(t, "the successor to answer PING with PONG after the drain", func() bool { front.send("PING"); return front.line() == "PONG" })
+	waitFor(t, "the successor to answer PING with PONG after the drain", func() bool {
+		front.send("PING")
+		return front.line() == "PONG"
+	})
 	next.stop()
 	s.stop()
 }
@@ -176,7 +184,7 @@
 	for n := range 60 {
 		answer := next.openFlow(100+n, "").line()
 		if !strings.HasPrefix(answer, "UP ") && !strings.HasPrefix(answer, "BUSY ") {
-			t.Fatalf("answer to OPEN = %q, want UP or BUSY", answer)
+			t.Fatalf("request %d was answered %q, want UP or BUSY", 100+n, answer)
 		}
 	}
 	countDescriptors := func(r *relay) int {
@@ -187,7 +195,7 @@
 		return len(entries)
 	}
 	if both := countDescriptors(s.relay) + countDescriptors(next); both > sockets {
-		t.Errorf("both processes together have %d descriptors open, want at most %d", both, sockets)
+		t.Errorf("both processes together have %d open descriptors, want at most %d", both, sockets)
 	}
 	s.cmd.Process.Signal(syscall.SIGTERM)
 	s.waitExit()
@@ -214,7 +222,7 @@
 	s.waitExit()
 	next.openFlow(100, "").wantLine("UP ")
 	if log := s.log.String() + next.log.String(); strings.Contains(log, "the store fails") {
-		t.Error("a process logged that the store fails")
+		t.Error("a process logged that the store fails, want no failure")
 	}
 	next.stop()
 }
