--- a/integration/crossing_descriptors_test.go
+++ b/integration/crossing_descriptors_test.go
@@ -15,8 +15,8 @@
 	return s, s.descriptors()
 }
 
-// restoreDiscoveryAndDrain makes discovery available again, lists a member there as draining and waits
-// until flow, which is at that member, is moved. This shows that the relay has reached discovery.
+// restoreDiscoveryAndDrain makes discovery available again, lists the member of flow there as draining
+// and waits until the client of flow gets MOVE. This shows that the relay has reached discovery.
 func (s *lineRig) restoreDiscoveryAndDrain(flow *client, drained *fakeMember) {
 	s.t.Helper()
 	s.d.SetDown(false)
--- a/integration/crossing_queue_test.go
+++ b/integration/crossing_queue_test.go
@@ -7,8 +7,9 @@
 )
 
 // TestCrossingStopAcceptQueue guards against requests that stay unanswered in the accept queue when the
-// listener closes. The process is suspended after SIGTERM until the listener is due to close, while more
-// clients connect and send a request than one round of the event loop accepts. Each must get BUSY.
+// listener closes. The process is suspended after SIGTERM until the time to close the listener has
+// passed. Meanwhile more clients connect and send a request than one round of the event loop accepts.
+// Each must get BUSY.
 func TestCrossingStopAcceptQueue(t *testing.T) {
 	t.Parallel()
 	const queued = 40 // acceptBurst of netloop is 16
@@ -19,7 +20,7 @@
 	for n := range queued {
 		all = append(all, s.openWithDeadline(100+n, 9*time.Second))
 	}
-	time.Sleep(time.Until(since.Add(maxCountedDeadline + socketTolerance))) // the listener's close is now overdue
+	time.Sleep(time.Until(since.Add(maxCountedDeadline + socketTolerance))) // until the close is overdue
 	s.resume()
 	answers := map[string]int{}
 	for _, c := range all {
--- a/integration/crossing_rig_test.go
+++ b/integration/crossing_rig_test.go
@@ -23,14 +23,19 @@
 
 // Limits that follow from the protocol and from the settings used here.
 const (
-	maxCountedDeadline  = 3 * time.Second        // longest deadline in the settings; longer ones count as this
-	killMargin          = 700 * time.Millisecond // SIGKILL comes this long after the longest deadline
-	lostAnswerDelay     = 500 * time.Millisecond // an answer this long after its deadline counts as lost
-	drainGrace          = 250 * time.Millisecond // a draining member may still get new requests this long
-	socketTolerance     = 50 * time.Millisecond  // added to every time limit
-	silentWatchDeadline = 6 * time.Second        // changes missed by a silent watch count as delivered this long after its start
-	reloadDeadline      = 4 * time.Second        // changes at a new discovery address count as delivered this long after SIGHUP
-	maxArrivals         = 256                    // capacity of the channels of attempts and lines
+	maxCountedDeadline = 3 * time.Second        // longest deadline in the settings; longer ones count as this
+	killMargin         = 700 * time.Millisecond // SIGKILL comes this long after the longest deadline
+	lostAnswerDelay    = 500 * time.Millisecond // an answer this long after its deadline counts as lost
+	drainGrace         = 250 * time.Millisecond // a draining member may still get new requests this long
+	socketTolerance    = 50 * time.Millisecond  // added to every time limit
+
+	// A change that a silent watch has missed counts as delivered this long after the watch began.
+	silentWatchDeadline = 6 * time.Second
+
+	// A change at a new discovery address counts as delivered this long after SIGHUP.
+	reloadDeadline = 4 * time.Second
+
+	maxArrivals = 256 // capacity of the channels of attempts and lines
 )
 
 // scriptedMember is a fake pool member that answers health checks on its own, and attempts only as
@@ -118,7 +123,7 @@
 	close(a.ended)
 }
 
-// setAutoAccept switches on or off that the member accepts every attempt without the test.
+// setAutoAccept sets whether the member accepts every attempt by itself.
 func (m *scriptedMember) setAutoAccept(on bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -292,7 +297,8 @@
 	return at
 }
 
-// wantTimelyExit waits for the process to end and checks that it did so before SIGKILL would come.
+// wantTimelyExit waits until the process has ended. It checks that the process ended before SIGKILL would
+// come, and checks the attempts as checkAttempts does. since is the time of SIGTERM.
 func (s *scriptedRig) wantTimelyExit(since time.Time) {
 	s.t.Helper()
 	s.waitExit()
@@ -304,6 +310,8 @@
 	s.checkAttempts()
 }
 
+// checkAttempts fails the test if a request had two attempts in flight at once, or more than three
+// attempts.
 func (s *scriptedRig) checkAttempts() {
 	s.t.Helper()
 	for _, violation := range s.attemptCounter.Violations() {
@@ -326,8 +334,8 @@
 	return descriptors(r.t, r.cmd.Process.Pid)
 }
 
-// waitDescriptorsReleased waits until the relay has no more descriptors than before. This takes
-// some seconds, since connections of health checks close late.
+// waitDescriptorsReleased waits until the relay has at most before open descriptors. This may take some
+// seconds, because connections of health checks stay open for a while.
 func (r *relay) waitDescriptorsReleased(before int) {
 	r.t.Helper()
 	for end := time.Now().Add(eventTimeout); r.descriptors() > before; time.Sleep(2 * time.Millisecond) {
--- a/integration/crossing_signals_test.go
+++ b/integration/crossing_signals_test.go
@@ -48,7 +48,7 @@
 	return f
 }
 
-// TestSignals sends series of signals at different times in the life of a process. SIGTERM must take
+// TestSignals sends several signals at different times in the life of a process. SIGTERM must take
 // effect at once, even if a reload hangs and many SIGHUPs came before it; SIGHUP must never end the process.
 func TestSignals(t *testing.T) {
 	t.Parallel()
--- a/integration/crossing_silent_test.go
+++ b/integration/crossing_silent_test.go
@@ -17,9 +17,10 @@
 // blockForever never answers the call and keeps its connection open.
 func blockForever(*scriptedWatch) { select {} }
 
-// TestCrossingWatchSilent guards against requests to a member that drains unnoticed: it starts to drain
-// just when the watch becomes silent, or when the watch ends and the next call gets no answer. New
-// requests must stop within the time that the protocol allows after the start of the silence.
+// TestCrossingWatchSilent guards against requests to a member whose drain the relay does not see: the
+// member starts to drain just when the watch becomes silent, or when the watch ends and the next call
+// gets no answer. The relay must send it no new requests later than the protocol allows after the start
+// of the silence.
 func TestCrossingWatchSilent(t *testing.T) {
 	t.Parallel()
 	for _, test := range []watchCase{
@@ -32,7 +33,8 @@
 }
 
 // TestCrossingWatchMovedSilent: SIGHUP changes the discovery address; at the new address a member is
-// draining, but the first call there gets no answer.
+// listed as draining, but the first call there gets no answer. The time limit is that of
+// TestCrossingWatchSilent, counted from SIGHUP.
 func TestCrossingWatchMovedSilent(t *testing.T) {
 	t.Parallel()
 	s, old := newWatchRig(t)
--- a/integration/crossing_stop_test.go
+++ b/integration/crossing_stop_test.go
@@ -257,8 +257,7 @@
 	}
 }
 
-// serveOne sends a request and has it served to its end. When it returns, the relay has handled all
-// events that came before it.
+// serveOne opens flow number n and ends it. When it returns, the relay has handled all earlier events.
 func (s *scriptedRig) serveOne(n int) {
 	s.t.Helper()
 	c, a := s.newFlow(n)
--- a/integration/crossing_upgrade_test.go
+++ b/integration/crossing_upgrade_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// newUpgradeRig returns a relay that supports an upgrade, with open flows and their two ends. A successor
-// is a second process with the same configuration, to which the first one hands over its connections.
+// newUpgradeRig returns a relay that can be upgraded, and both ends of its open flows. In an upgrade the
+// relay hands over its connections to a successor: a second process with the same configuration.
 func newUpgradeRig(t *testing.T, flows int) (s *scriptedRig, clients []*client, members []*attempt) {
 	t.Helper()
 	s = newScriptedRig(t, 2, map[string]any{"operator": "127.0.0.1:0"})
@@ -22,8 +22,8 @@
 	return s, clients, members
 }
 
-// handOverFlows stops the relay while its successor is suspended. When it returns the relay has sent its
-// flows to the successor, which has not received them yet.
+// handOverFlows suspends the successor and then stops the relay with SIGTERM. When it returns, the relay
+// has sent its flows to the successor, which has not received them yet. It returns the time of SIGTERM.
 func (s *scriptedRig) handOverFlows(next *relay) time.Time {
 	s.t.Helper()
 	next.suspend()
@@ -45,8 +45,8 @@
 	c.Read(make([]byte, 1))
 }
 
-// handoverSocketInode returns the inode of the socket on which a relay listens for its successor, 0 if
-// there is none. A process that begins to accept clients creates the socket again.
+// handoverSocketInode returns the inode of the socket on which a relay listens for its successor, or 0 if
+// there is none. A process that begins to accept clients replaces the socket by one of its own.
 func (r *relay) handoverSocketInode() uint64 {
 	r.t.Helper()
 	paths, err := filepath.Glob(filepath.Join(filepath.Dir(r.configPath), "dahliarudder-*", "upgrade.sock"))
@@ -294,9 +294,9 @@
 	next.stop()
 }
 
-// TestCrossingHandoverBothStop: both processes get SIGTERM: the first one before the successor, after it,
-// at the same time, or when it no longer accepts clients. A client that still connects must be
-// answered by one of them, and open flows must be moved.
+// TestCrossingHandoverBothStop: both processes get SIGTERM: the first one before the successor, after the
+// successor, at the same time, or the successor when the first one no longer accepts clients. One of the
+// two must answer a client that still connects, and open flows must be moved.
 func TestCrossingHandoverBothStop(t *testing.T) {
 	t.Parallel()
 	wantBusy := func(t *testing.T, s *scriptedRig, n int) {
@@ -310,7 +310,7 @@
 		s, _, _ := newUpgradeRig(t, 0)
 		next := s.startSuccessor(2)
 		s.terminate()
-		s.suspend() // during the time that its last answers have to leave
+		s.suspend() // in the time that it allows for sending its last answers
 		since := time.Now()
 		next.cmd.Process.Signal(syscall.SIGTERM)
 		next.waitLogged("msg=stopping")
@@ -333,7 +333,8 @@
 			if !suspendFirst {
 				suspended, other = next, s.relay
 			}
-			suspended.suspend() // so that one loop round sees its own SIGTERM and the message of the other process
+			// One round of its event loop then sees both its own SIGTERM and the message of the other process.
+			suspended.suspend()
 			other.cmd.Process.Signal(syscall.SIGTERM)
 			other.waitLogged("msg=stopping")
 			suspended.cmd.Process.Signal(syscall.SIGTERM)
@@ -374,9 +375,9 @@
 	}
 }
 
-// TestCrossingHandoverDuplicateID guards against a second attempt for a request id that is in use: while a
-// request is in progress in the first process, the same id is sent to the successor before the flow is
-// open, during the handover and after it. It must be rejected each time.
+// TestCrossingHandoverDuplicateID guards against a second attempt for a request id that is in use. A
+// request is in progress in the first process; the successor gets a request with the same id before the
+// flow is open, during the handover and after it, and must reject it each time.
 func TestCrossingHandoverDuplicateID(t *testing.T) {
 	t.Parallel()
 	s, _, _ := newUpgradeRig(t, 0)
--- a/integration/crossing_waiting_test.go
+++ b/integration/crossing_waiting_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// longSuspension is longer than a relay may be suspended and still trust its endpoint list. With these
-// settings that is one second; the rest is for what the relay may have waited before the suspension.
+// longSuspension is so long that the relay no longer trusts its endpoint list afterwards. With these
+// settings one second suffices; the rest covers the time that the relay may have waited before the
+// suspension.
 const longSuspension = 1500 * time.Millisecond
 
 // TestCrossingClientLeavesWaiting: a client leaves while its request waits in the relay before the first
--- a/integration/crossing_watch_test.go
+++ b/integration/crossing_watch_test.go
@@ -202,8 +202,8 @@
 	return s, d
 }
 
-// lastSendTo sends requests, one after another, until the relay moves flow, whose member drains, and
-// then ten more. It returns when the last first line reached that member.
+// lastSendTo sends requests, one after another, until the relay moves flow, which is at the draining
+// member, and then ten more. It returns the time at which that member received its last first line.
 func (s *scriptedRig) lastSendTo(drained *scriptedMember, flow *client) time.Time {
 	s.t.Helper()
 	flowLine := make(chan string, 1)
@@ -272,8 +272,8 @@
 	s.checkAttempts()
 }
 
-// TestCrossingWatch guards against requests to a member that has begun to drain. The update comes in
-// one of the forms that the protocol allows, or the watch is reset at that moment.
+// TestCrossingWatch guards against requests to a member that has begun to drain. Discovery sends the
+// update in one of the forms that the protocol allows, or resets the watch at that moment.
 func TestCrossingWatch(t *testing.T) {
 	t.Parallel()
 	for _, test := range []watchCase{
--- a/integration/fleet_faults_test.go
+++ b/integration/fleet_faults_test.go
@@ -44,8 +44,8 @@
 	})
 }
 
-// unavailableCount returns how many units of a release are out, according to relay i's own copy of
-// the record, which may be stale. It returns 0 if the relay does not answer.
+// unavailableCount returns how many relays or members a release has out of service, according to relay
+// i's own copy of the record, which may be stale. It returns 0 if the relay does not answer.
 func (f *fleetRig) unavailableCount(i int, name string) int {
 	var a rollout.ReleaseStatus
 	if f.call(i, "GET", "/-/releases/"+name+"?stale", nil, &a) != 200 {
@@ -60,9 +60,9 @@
 	return strings.LastIndex(log, "fleet: ordered to leave") > strings.LastIndex(log, "fleet: order to leave revoked")
 }
 
-// TestFleetConflictingRelease: a release that includes a unit of another release is refused with the
+// TestFleetConflictingRelease: a release that includes a member of another release is refused with the
 // other one's name, or queued if the caller asks for that; once the other release is rolled back the
-// queued one starts. Guards against two releases that act on the same unit.
+// queued one starts. Guards against two releases that act on the same member.
 func TestFleetConflictingRelease(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 3, 3, 3, nil)
@@ -104,8 +104,8 @@
 	return &rolloutWatch{f, name, map[int]int{}, -1}
 }
 
-// checkOneOut checks that at most one relay is out, both in each relay's record and by the orders
-// that the relays have logged.
+// checkAtMostOneOut checks that at most one relay is out of service, both in each relay's record and by
+// the orders that the relays have logged.
 func (w *rolloutWatch) checkAtMostOneOut() {
 	w.f.t.Helper()
 	leaving := 0
@@ -131,10 +131,10 @@
 	}
 }
 
-// TestFleetLeaderKilled: the leader is killed while another relay is out by order. The release
-// continues under the next leader once the killed relay is back; no further relay is ordered to leave
-// until then, and each relay exits by order once. Guards against a new leader that does not know its
-// predecessor's orders, and against one that counts a lost relay as free budget.
+// TestFleetLeaderKilled: the leader is killed while another relay is leaving by order. The release
+// continues under the next leader once the killed relay has been restarted; no further relay is ordered
+// to leave until then, and each relay exits by order once. Guards against a new leader that does not
+// know its predecessor's orders, and against one that counts a lost relay as free budget.
 func TestFleetLeaderKilled(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 4, 3, 4, map[string]any{"relays": map[string]string{"whole": "1"}})
@@ -159,9 +159,9 @@
 	})
 	killed := w.down
 	f.kill(killed)
-	// The leaving relay is not restarted before the killed one: while it is out it uses up the budget,
-	// so that no relay is ordered to leave twice. If both relays are voters, there is no majority and
-	// no leader until the killed one is back.
+	// The leaving relay is not restarted before the killed one: while it is out of service it uses up
+	// the budget, so that no relay is ordered to leave twice. If both relays are voters, there is no
+	// majority and no leader until the killed one runs again.
 	waitForWithin(t, eventTimeout, "another leader, or the exit of the leaving relay", func() bool {
 		w.checkAtMostOneOut()
 		return f.leaderOrNone() >= 0 || len(f.relays[other].done) > 0
@@ -184,9 +184,9 @@
 }
 
 // TestFleetAllKilled: all relays are killed at once while one has exited by order and the next one
-// is leaving. Restarted, they continue the release to its end from their disks: at most one relay is
-// out at any time, and none exits twice, not even the one that was killed while it was leaving.
-// Guards against a release that is lost, restarted or blocked for ever by a loss of power.
+// is leaving. After their restart they complete the release with the state on their disks: at most one
+// relay is out of service at any time, and none exits twice, not even the one that was killed while it
+// was leaving. Guards against a release that is lost, restarted or blocked for ever by a loss of power.
 func TestFleetAllKilled(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 4, 3, 4, map[string]any{"relays": map[string]string{"whole": "1"}})
@@ -241,11 +241,11 @@
 // shortSlowStart is settingsText with a slow start of three seconds.
 var shortSlowStart = strings.Replace(settingsText, `"cold-ms":8600`, `"cold-ms":3000`, 1)
 
-// TestFleetNoMajority: two of three voters are cut off while one member of a release is out. The
-// member's owner replaces it meanwhile, so that the release would eject the next member: it does not,
-// the ejection of the first member lasts at every relay, and after the partition the release continues
-// to its end. Guards against a leader that orders what no other voter has recorded, and against relays
-// that forget an order while the record cannot be reached.
+// TestFleetNoMajority: two of three voters are cut off while a release has one member ejected. The
+// member's owner replaces it during the partition, upon which the release would eject the next member.
+// Without a majority it must not: the first member stays ejected at every relay, and the release
+// continues only after the partition. Guards against a leader that orders what no other voter has
+// recorded, and against relays that forget an order while they cannot reach the record.
 func TestFleetNoMajority(t *testing.T) {
 	t.Parallel()
 	f := newFleetWithSettings(t, shortSlowStart, 4, 3, 3, nil)
@@ -297,9 +297,9 @@
 }
 
 // TestFleetStaleOrder: a relay that was ordered to leave is suspended before it can exit; meanwhile the
-// release is halted and rolled back. When the relay continues, its exit is overdue and it knows only
-// the order to leave: it asks the leader, stays, and accepts flows. Guards against an exit by a
-// revoked order.
+// release is halted and rolled back. When the relay continues, its exit is overdue and it has not seen
+// that the order was revoked. It must ask the leader first, and then stay and accept flows. Guards
+// against an exit by a revoked order.
 func TestFleetStaleOrder(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 4, 3, 3, nil)
@@ -382,10 +382,11 @@
 	})
 }
 
-// TestFleetPausePartitioned: no relay's record reaches another one when an operator pauses a canary at
-// one relay. The pause cannot be recorded, yet every relay sets the canary's weight to zero, because
-// relays pass the pause on by gossip. The weight stays zero once the record is reachable again, until a
-// resume is recorded. Guards against a faulty build that gets flows as long as there is no majority.
+// TestFleetPausePartitioned: the consensus engines of all relays are cut off from each other when an
+// operator pauses a canary at one relay. The pause cannot be recorded, yet every relay sets the canary's
+// weight to zero, because relays pass the pause on by gossip. The weight stays zero once the engines
+// reach each other again, until a resume is recorded. Guards against a faulty build that gets flows as
+// long as there is no majority.
 func TestFleetPausePartitioned(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 4, 3, 4, nil)
@@ -453,11 +454,11 @@
 	}
 }
 
-// TestFleetPermits: two owners request a permit for one member each, and one member may be out. The
-// second request waits, is answered with a reason and a time to retry, and keeps its number. It is
-// granted once the first member, restarted, has its full capacity according to the relays'
-// observations, not according to its owner. Calls with a finished number are refused. Guards against a
-// budget that is granted twice.
+// TestFleetPermits: two owners request a permit for one member each, but only one member at a time may
+// be out of service. The second permit waits: its requests are answered with a reason and a time to
+// retry, and it keeps its number. It is granted once the first member has been restarted and has its
+// full capacity according to the relays' observations; its owner's call "done" is not enough. Calls for
+// a finished permit are refused. Guards against a budget that is granted twice.
 func TestFleetPermits(t *testing.T) {
 	t.Parallel()
 	f := newFleetWithSettings(t, strings.Replace(settingsText, `"cold-ms":8600`, `"cold-ms":7000`, 1), 4, 3, 3, nil)
@@ -546,8 +547,8 @@
 }
 
 // TestFleetStartPartitioned: a voter and a follower that are restarted while they are cut off from the
-// record keep the ejections that they knew: they send no flow to an ejected member. Guards against a
-// restart that bypasses an ejection.
+// record keep the ejections that they have stored: they send no flow to an ejected member. Guards
+// against a restart that bypasses an ejection.
 func TestFleetStartPartitioned(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 4, 3, 3, nil)
--- a/integration/fleet_test.go
+++ b/integration/fleet_test.go
@@ -30,13 +30,14 @@
 	conf        []string
 	recordAddrs []string            // where each relay's consensus engine listens
 	proxies     [][]*fakes.TCPProxy // by dialing relay and dialed relay; nil entries for none
-	groups      int                 // flow groups used so far
+	groups      int                 // number of flow groups used so far
 }
 
 const fleetKey = gossipRigKey
 
 // newFleet starts n relays, of which the first voters relays are voters, and a number of members with
-// unlimited capacity. out is the section "out" of the fleet configuration, the disruption budgets.
+// unlimited capacity. budgets is the section "out" of the fleet configuration: how many relays and
+// members may be out of service at once.
 func newFleet(t *testing.T, n, voters, members int, budgets map[string]any) *fleetRig {
 	return newFleetWithSettings(t, settingsText, n, voters, members, budgets)
 }
@@ -100,8 +101,8 @@
 	}
 }
 
-// setEverywhere disables or enables a member by calls at relay i until the record has it: without a
-// leader such a call applies to that relay alone.
+// setEverywhere ejects or reinstates a member by a call at relay i. It repeats the call until the
+// relay's record shows the change: without a leader the call applies to that relay alone.
 func (f *fleetRig) setEverywhere(i int, member string, ejected bool) {
 	f.t.Helper()
 	path := map[bool]string{true: "/disable", false: "/enable"}[ejected]
@@ -111,8 +112,8 @@
 	})
 }
 
-// waitAccepting waits until relay i accepts flows. Until it has received the record, or has given up
-// waiting for it, it answers BUSY.
+// waitAccepting waits until relay i accepts flows. A started relay answers BUSY until it has received
+// the record or has given up waiting for it.
 func (f *fleetRig) waitAccepting(i int) {
 	f.t.Helper()
 	waitFor(f.t, fmt.Sprintf("n%d to accept flows", i), func() bool {
@@ -273,7 +274,7 @@
 }
 
 // TestFleetRelease: one release restarts all relays, including the leader. Each relay exits by order
-// and comes back, and the release is completed.
+// once and is started again by the test, and the release is completed.
 func TestFleetRelease(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 4, 3, 4, map[string]any{"relays": map[string]string{"whole": "1"}, "members": map[string]string{"whole": "1"}})
@@ -383,8 +384,8 @@
 }
 
 // TestFleetPartition: a relay that is cut off from the record answers a new release with a failure. An
-// ejection there applies to that relay alone, and is reported as drift once the relay is back, until
-// an operator lifts it there.
+// ejection there applies to that relay alone. Once the relay is connected again, the ejection is
+// reported as drift until an operator lifts it there.
 func TestFleetPartition(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 4, 3, 3, nil)
@@ -519,7 +520,8 @@
 	}
 	pause := f.request(n-1, "PUT", "/-/canaries/c1/pause", nil)
 	go f.send(n-1, pause, nil)
-	// A relay that has not reached the record for long may have set the weight to zero before the pause.
+	// A relay that has been cut off from the record for some time may set the weight to zero even before
+	// the pause reaches it.
 	measure("a pause without a majority", func(i int) bool {
 		log := f.relays[i].log.String()
 		return strings.LastIndex(log, "map[c1:0]") > strings.LastIndex(log, "map[c1:300]")
--- a/integration/fleet_voters_test.go
+++ b/integration/fleet_voters_test.go
@@ -32,7 +32,7 @@
 
 // waitVoter waits until relay i is a voter. The term is checked too because a relay without a running
 // engine reports term 0 and the role that it had under an earlier identity. Commands that are recorded
-// after this follow the end of the voter change in the log.
+// after waitVoter returns come after the end of the voter change in the log.
 func (f *fleetRig) waitVoter(i int) {
 	f.t.Helper()
 	waitFor(f.t, fmt.Sprintf("n%d to be a voter", i), func() bool {
@@ -54,10 +54,10 @@
 }
 
 // TestFleetVoterReplaced: the leader is killed and cut off, and an operator replaces it as a voter by a
-// follower. The record continues. The old leader returns, with a disk that says that it votes, while
-// the new voter and another one are down, so that by its disk two of three voters are up: no command
-// is recorded, and it becomes a follower and stays one when all relays are up again. Guards against two
-// disjoint majorities.
+// follower. The record continues. Then the new voter and another one are killed, and the old leader is
+// started again. Its disk still lists it as a voter, so that it counts two of three voters as up. No
+// command must be recorded; the old leader must become a follower, and stay one when all relays are up
+// again. Guards against two disjoint majorities.
 func TestFleetVoterReplaced(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 4, 3, 4, nil)
@@ -71,11 +71,12 @@
 	})
 	f.waitVoter(3)
 	f.eject(0, 3, a, b)
-	f.kill(b, 3) // by the replaced relay's disk, two of three voters are left
+	f.kill(b, 3) // according to the replaced relay's disk, two of three voters are left
 	f.start(replaced)
 	f.isolate(replaced, false)
 	f.waitNoMajority(a, replaced)
-	for end := time.Now().Add(3 * time.Second); time.Now().Before(end); time.Sleep(50 * time.Millisecond) { // an election takes 1.2 s
+	// An election takes 1.2 s.
+	for end := time.Now().Add(3 * time.Second); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		for _, i := range []int{replaced, a} {
 			if e := f.consensusStatus(i); e.HasQuorum || e.Leader != "" {
 				t.Fatalf("n%d reports %+v with one of three voters up, want no majority and no leader", i, e)
@@ -87,7 +88,7 @@
 			t.Errorf("POST of a release at n%d with one of three voters up = 200, want a failure", i)
 		}
 	}
-	f.start(3) // the majority needs its vote; the replaced relay's vote does not count
+	f.start(3) // the majority needs n3's vote, as the replaced relay's vote does not count
 	f.eject(1, a, 3, replaced)
 	f.start(b)
 	f.eject(2, replaced, 0, 1, 2, 3)
@@ -101,9 +102,9 @@
 }
 
 // TestFleetVoterForgets: a voter is restarted with an older copy of its directory, and then another one
-// with an empty directory. Each reports this, votes under a new identity, and receives the whole
-// record; its vote is then needed for a majority. Guards against a voter that votes twice or loses
-// commands that it has acknowledged, and against a second record.
+// with an empty directory. Each reports this, receives the record again and votes under a new identity;
+// with another voter down, its vote is needed for a majority. Guards against a voter that votes twice or
+// loses commands that it has acknowledged, and against a second record.
 func TestFleetVoterForgets(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 4, 3, 10, nil)
@@ -122,7 +123,7 @@
 	f.start(older)
 	f.waitVoter(older)
 	ejectNext(3, 0, 1, 2)
-	ejectNext(older, 0, 1, 2, 3) // all relays have what this one has acknowledged up to here
+	ejectNext(older, 0, 1, 2, 3) // afterwards all relays have every command that this one has acknowledged
 	restartWithDirectory := func(i, other int, reason, backup string) {
 		t.Helper()
 		id := f.consensusStatus(i).Identity
--- a/integration/line_test.go
+++ b/integration/line_test.go
@@ -52,8 +52,9 @@
 	return nil
 }
 
-// TestFlow: flows are accepted with the member's receipt, lines pass both ways unchanged, the first line
-// changes in its field d only, and a flow that is served ends with an orderly close.
+// TestFlow: the client gets the UP line of the member that accepted its flow, lines pass both ways
+// unchanged, the relay changes only the field d of the first line, and a flow that the member ends with
+// BYE ends with an orderly close.
 func TestFlow(t *testing.T) {
 	s := newLineRig(t, 3, nil)
 	for n := range 20 {
@@ -84,7 +85,8 @@
 	s.stop()
 }
 
-// TestPing: PING is the readiness check of a front proxy; the connection stays usable after it.
+// TestPing: a front proxy checks with PING whether the relay is ready; the connection stays usable after
+// it, for further PINGs and for a request.
 func TestPing(t *testing.T) {
 	s := newLineRig(t, 1, nil)
 	c := s.dial()
@@ -204,8 +206,8 @@
 	c.wantLine("ERR")
 }
 
-// TestTerminate: on a signal to end, each client with an open flow gets MOVE, new requests are rejected,
-// PING is answered ERR, and the program exits without an error.
+// TestTerminate: after SIGINT each client with an open flow gets MOVE, new requests are rejected, PING is
+// answered ERR, and the program exits without an error.
 func TestTerminate(t *testing.T) {
 	s := newLineRig(t, 2, nil)
 	flows := s.openFlows(10)
@@ -434,8 +436,8 @@
 	s.stop()
 }
 
-// TestCounts: with counts_ms set, the relay logs its counts at that interval, and their sum over the
-// intervals is what happened.
+// TestCounts: with counts_ms set, the relay logs at that interval what it has counted since the last
+// time, and the logged counts of requests add up to the number of requests.
 func TestCounts(t *testing.T) {
 	s := newLineRig(t, 2, map[string]any{"counts_ms": 100})
 	for n := range 5 {
--- a/integration/nats_chaos_test.go
+++ b/integration/nats_chaos_test.go
@@ -20,7 +20,7 @@
 	latest     map[string]int  // by client and subject: the highest number accepted so far
 	seen       map[string]bool // payloads that a node has accepted
 	rejected   map[string]int  // by client: rejections that the client received
-	outOfOrder []string        // first arrivals after one with a higher number
+	outOfOrder []string        // publications that first arrived after one with a higher number
 }
 
 // record records a publication; the cluster calls it for each one that a node accepts.
@@ -42,11 +42,12 @@
 	l.latest[key] = max(l.latest[key], n)
 }
 
-// TestNATSChaos: clients publish while members are killed, restarted and drained, refuse, reset or
-// stop answering at random. Counted by payload at the members, no publication has two attempts in
-// flight or more than three attempts. Each publication is answered: the client's flush returns, and a
-// publication that no member accepted was reported as rejected. First arrivals keep the order of their
-// client and subject. In the end every subscription is at exactly one member.
+// TestNATSChaos: clients publish while members, at random, are killed, restarted and drained, or refuse,
+// reset or stop answering. Counted by payload at the members, no publication has two attempts in flight
+// or more than three attempts. Each publication is answered: the client's flush returns, and the client
+// is notified of the rejection of each publication that no member accepted. The publications of a client
+// to a subject first arrive in the order in which it sent them. In the end every subscription is at
+// exactly one member.
 func TestNATSChaos(t *testing.T) {
 	for _, seed := range []uint64{1, 2, 3} {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -196,9 +197,9 @@
 	}
 }
 
-// TestNATSDrainUnderLoad: while a client publishes, each node in turn drains. Within the grace of
-// 250 ms, plus a large allowance for a busy machine, the node has no subscription, and each
-// subscription is at exactly one other node.
+// TestNATSDrainUnderLoad: while a client publishes, each node in turn drains. After the grace of 250 ms,
+// plus a large allowance for a busy machine, the node must have no subscription left, and each
+// subscription must be at exactly one other node.
 func TestNATSDrainUnderLoad(t *testing.T) {
 	const allowance, subscriptions = 3 * time.Second, 60
 	k := newCluster(t, 3)
--- a/integration/nats_conformance_own_test.go
+++ b/integration/nats_conformance_own_test.go
@@ -38,8 +38,8 @@
 	return c
 }
 
-// answerRequests subscribes to each subject and answers its requests with the result of the function;
-// an empty result is not sent.
+// answerRequests subscribes to each subject of answers and answers requests on it with the result of
+// its function; an empty result is not sent.
 func answerRequests(t *testing.T, c *nats.Conn, answers map[string]func(m *nats.Msg) string) {
 	t.Helper()
 	for subject, f := range answers {
@@ -143,7 +143,8 @@
 	return string(h)
 }
 
-// withFront returns a clause test with a relay of its own, which has further keys of the NATS front.
+// withFront returns a clause test that runs with a relay of its own, to whose NATS front it adds the keys
+// of front.
 func withFront(front map[string]any, test func(t *testing.T, s *conformanceRig)) func(*testing.T, *conformanceRig) {
 	return func(t *testing.T, _ *conformanceRig) { test(t, newConformanceRig(t, front)) }
 }
@@ -256,8 +257,8 @@
 			`-ERR 'Permissions Violation for Subscription to "other"'`, `-ERR 'Permissions Violation for Subscription to "in.secret"'`,
 			`-ERR 'Permissions Violation for Subscription to "work.a"'`, "PONG")
 		all.sendLines("SUB box 1", "PUB in.secret 1", "1", "PUB in.open box 1", "2", "PING")
-		// Read PONG before few replies: PONG waits for all links of this client, so that the reply on one
-		// of them could overtake it.
+		// Read PONG before the client few replies: the relay sends PONG only once all links of this client
+		// have answered, so that a reply that arrives on one of them could overtake it.
 		all.wantLines("PONG")
 		few.wantLines("MSG in.open 5 box 1", "2") // the wildcard subscription does not deliver a denied subject
 		few.sendLines("PUB box 2", "ok", "PUB box 2", "no", "PING")
--- a/integration/nats_conformance_test.go
+++ b/integration/nats_conformance_test.go
@@ -63,7 +63,7 @@
 	c.send(strings.Join(lines, "\r\n"))
 }
 
-// wantLines reads lines, which have to be exactly these.
+// wantLines reads as many lines and fails the test unless they are exactly these.
 func (c *client) wantLines(lines ...string) {
 	c.t.Helper()
 	for _, want := range lines {
@@ -145,7 +145,7 @@
 		defer k.SetInfo(nil)
 		k.ResetConnections() // links that reconnect to the node receive its new INFO
 		d := s.rawClient(t, "")
-		for i := range 9 { // so many subscriptions that one of them is placed at this node
+		for i := range 9 { // so many subscriptions that at least one of them is placed at this node
 			d.sendLines(fmt.Sprintf("SUB again.%d %d", i, i+1), "PING")
 			d.wantLine("PONG")
 		}
@@ -358,7 +358,7 @@
 		for range 500 {
 			p.Publish("drained", nil)
 		}
-		flush(t, p) // a node has accepted, and therefore delivered, all publications
+		flush(t, p) // returns once a node has accepted, and therefore delivered, all publications
 		sub.Drain()
 		waitFor(t, "the drain of the subscription to end", func() bool { return !sub.IsValid() })
 		if got.Load() != 500 {
--- a/integration/nats_load_test.go
+++ b/integration/nats_load_test.go
@@ -13,16 +13,16 @@
 	"dahliarudder/internal/fakes"
 )
 
-// patientSettings returns settingsText with deadlines so long that no request is rejected for them on
-// a busy machine. With probes false members have no health checks, so that a busy machine cannot have
-// them ejected either.
+// longDeadlineSettings returns settingsText with deadlines so long that a busy machine does not make the
+// relay reject requests because of them. With probes false the relay makes no health checks, so that a
+// busy machine does not make it eject members either.
 func longDeadlineSettings(probes bool) json.RawMessage {
 	return json.RawMessage(strings.NewReplacer(`"deadline-ms":3000`, `"deadline-ms":25000`, `"deadline-ms":2000`, `"deadline-ms":25000`,
 		`"probes":true`, fmt.Sprintf(`"probes":%v`, probes)).Replace(settingsText))
 }
 
-// natsRelay starts a relay whose only front is NATS, with further keys of that front, for the nodes of
-// a cluster.
+// natsRelay starts a relay whose only front is NATS, with front as further keys of that front, for the
+// nodes of a cluster.
 func natsRelay(t testing.TB, k *fakes.NATSCluster, front map[string]any) *relay {
 	t.Helper()
 	d := newDiscovery(t, natsMembers(k)...)
--- a/integration/nats_test.go
+++ b/integration/nats_test.go
@@ -178,9 +178,9 @@
 	s.checkStored(map[string]int{"served": 8 + 1}) // a minimum: the moved subscriptions are recorded too
 }
 
-// checkStored checks the store's contents: each attempt has a recorded request, the attempts of a
-// request do not overlap, there are three at most, and their number is the recorded one. minimum is the
-// least number of requests with each final answer.
+// checkStored checks the store's contents: each attempt belongs to a recorded request, a request has at
+// most three attempts, they do not overlap, and there are as many as the requests' tries add up to.
+// minimum is the least number of requests by final answer.
 func (s *natsRig) checkStored(minimum map[string]int) {
 	s.t.Helper()
 	count := s.queryCount
@@ -380,8 +380,8 @@
 	s.stop()
 }
 
-// TestDeployed: the shipped configuration deploy/nats.json works as docs/nats.md describes: with trial
-// certificates, over TLS, for its configured users.
+// TestDeployed: the shipped configuration deploy/nats.json works as docs/nats.md describes: over TLS, with
+// certificates made by the command "keys certificate", for its configured users.
 func TestDeployed(t *testing.T) {
 	dir := t.TempDir()
 	if out, err := runCommand("keys", "certificate", "--dir", filepath.Join(dir, "tls")); err != nil {
@@ -482,8 +482,8 @@
 // TestNATSClientGone: a publication whose client disconnects while it is in flight or waits for another
 // attempt is not retried; publications of other clients are not affected.
 func TestNATSClientGone(t *testing.T) {
-	for what, mode := range map[string]fakes.NodeMode{"in flight at a silent node": fakes.NodeSilent, "refused by a node": fakes.NodeRefuses, "reset by a node": fakes.NodeResets} {
-		t.Run(what, func(t *testing.T) {
+	for name, mode := range map[string]fakes.NodeMode{"in flight at a silent node": fakes.NodeSilent, "refused by a node": fakes.NodeRefuses, "reset by a node": fakes.NodeResets} {
+		t.Run(name, func(t *testing.T) {
 			k := newCluster(t, 2)
 			r := natsRelay(t, k, nil)
 			for _, o := range k.Nodes {
--- a/integration/peers_test.go
+++ b/integration/peers_test.go
@@ -134,8 +134,8 @@
 	}
 }
 
-// cut cuts the links from the relays below side to the others, or restores them; with both set, also
-// the links in the other direction.
+// cut cuts the links from the relays numbered below side to the others, or restores them if on is false;
+// with both set, also the links in the other direction.
 func (c *gossipRig) cut(side int, on, both bool) {
 	for i, row := range c.links {
 		for j, l := range row {
@@ -147,9 +147,9 @@
 }
 
 // TestPeersProcesses: relays that start together, with one known address down, find each other. A
-// killed relay is reported as gone, because its port refuses connections, and as alive again when it is
-// back without its state. A suspended relay is reported as dead and, when it continues, as alive. A
-// relay that exits by itself has announced this and is reported as left.
+// killed relay is reported as "gone", because its port refuses connections, and as "alive" once it has
+// been started again without its state. A suspended relay is reported as "dead" and, when it continues,
+// as "alive". A relay that exits after SIGTERM announces this and is reported as "left".
 func TestPeersProcesses(t *testing.T) {
 	c := newGossipRig(t, 4, false)
 	c.waitAllAlive()
@@ -196,7 +196,7 @@
 	for i := range c.relays {
 		waitFor(t, fmt.Sprintf("n%d to divide the budgets according to its side of the cut", i), func() bool {
 			if share := c.peersAnswer(i).Share; i >= 2 {
-				return share <= 4 && share >= 3 // majority, three of five; the divisor falls by a fifth at most in 5 s
+				return share <= 4 && share >= 3 // majority, three of five; the divisor falls by at most a fifth in 5 s
 			} else {
 				return share == 10 // minority, two of five: half of a fifth
 			}
@@ -224,7 +224,7 @@
 	}
 	c.waitAllAlive()
 
-	// Datagrams that no peer has sent, or that repeat an earlier one, are refused and counted by reason.
+	// n1 refuses datagrams that no peer has sent, or that repeat an earlier one, and counts them by reason.
 	l := c.links[0][1]
 	datagram, _ := l.Last()
 	l.Inject(datagram)
@@ -242,9 +242,9 @@
 	c.waitAllAlive()
 }
 
-// TestPeersDuplicateName: two processes have one name. The others accept the later one, refuse the
-// earlier one with this reason, and report no relay as dead. Once both are killed and one process with
-// that name is started again, all relays see each other as alive.
+// TestPeersDuplicateName: two processes have the same name. The others accept the later one, refuse the
+// datagrams of the earlier one with this reason, and report no relay as dead. Once both are killed and
+// one process with that name is started again, all relays report each other as alive.
 func TestPeersDuplicateName(t *testing.T) {
 	c := newGossipRig(t, 3, false)
 	c.waitAllAlive()
@@ -343,8 +343,8 @@
 	}
 }
 
-// TestPeersOff: without the setting peers the report on peers does not exist; the configuration check
-// rejects a key file that other users may read.
+// TestPeersOff: without the setting peers the operator call /-/peers is answered 404. The configuration
+// check rejects a key file that other users may read.
 func TestPeersOff(t *testing.T) {
 	s := newLineRig(t, 1, map[string]any{"operator": "127.0.0.1:0"})
 	if code := s.call("GET", "/-/peers"); code != http.StatusNotFound {
--- a/integration/postgres_rig_test.go
+++ b/integration/postgres_rig_test.go
@@ -19,7 +19,7 @@
 	l       net.Listener
 	mu      sync.Mutex
 	rows    map[string]map[string][]string // by table and primary key
-	failAll bool                           // every simple query but ROLLBACK fails, so that no transaction commits
+	failAll bool                           // simple queries other than ROLLBACK fail, so that nothing is committed
 }
 
 // primaryKeyColumns is the number of leading columns that are the primary key, by table.
--- a/integration/pushed_lists_test.go
+++ b/integration/pushed_lists_test.go
@@ -14,7 +14,7 @@
 var pushedListSettings = json.RawMessage(strings.Replace(settingsText, `"discovery":"subscribe"`, `"discovery":"automatic"`, 1))
 
 // newPushedListRig returns a relay with members that accept all attempts. The agent lists the first member
-// with the given lifecycle; the last list in the relay's configuration has it as serving.
+// with the given lifecycle; the endpoint list in the relay's configuration has it as serving.
 func newPushedListRig(t *testing.T, lifecycle string) *scriptedRig {
 	t.Helper()
 	s := &scriptedRig{}
--- a/integration/ready_test.go
+++ b/integration/ready_test.go
@@ -11,8 +11,8 @@
 // readyLimit is the time within which nine of ten restarted relays must be ready.
 const readyLimit = 10 * time.Second
 
-// TestReadyInTime: relays that restart while discovery is down, slow, silent or closed, or while their
-// snapshot is damaged, must be ready in time with the list from their configuration, and serve requests.
+// TestReadyInTime: relays that restart while discovery is down, slow, silent or closed, or whose snapshot
+// is damaged, must be ready in time with the endpoint list from their configuration, and serve requests.
 func TestReadyInTime(t *testing.T) {
 	t.Parallel()
 	for name, impair := range map[string]func(t *testing.T, d *discovery, dir string){
--- a/integration/rig_test.go
+++ b/integration/rig_test.go
@@ -32,8 +32,8 @@
 // program is the path of the built program.
 var program string
 
-// minParallel is the least number of tests that run in parallel, also on a machine with fewer cores:
-// they spend most of their time waiting for processes.
+// minParallel is the least number of tests that may run in parallel, also on a machine with fewer cores:
+// the tests spend most of their time waiting for processes.
 const minParallel = 4
 
 func TestMain(m *testing.M) {
@@ -91,11 +91,11 @@
 	return l
 }
 
-// loopbackPorts is the loopback address of this test run and the last port taken from it.
+// loopbackPorts is the loopback address of this test run and the last port that reservePort has used.
 var loopbackPorts struct {
 	sync.Mutex
 	host   string
-	holder net.Listener // on firstReservedPort, shows other runs that host is taken
+	holder net.Listener // on firstReservedPort; shows other test runs that host is in use
 	last   int          // offset from firstReservedPort
 }
 
@@ -104,10 +104,11 @@
 	reservedPorts     = 20000 // ports from firstReservedPort on
 )
 
-// reservePort returns an address for a relay that must be known before the relay listens, or stay free
-// while the relay is down. Each test run has a loopback address of its own, which it claims by listening
-// on its first port, and uses each port once. Otherwise another process might take the port meanwhile,
-// and a relay that cannot bind its gossip port serves without gossip.
+// reservePort returns an address for a relay, for cases in which the address must be known before the
+// relay listens or must stay free while the relay is down. Each test run has a loopback address of its
+// own, which it claims by listening on firstReservedPort, and uses each port once. Otherwise another
+// process might take the port meanwhile, and a relay that cannot bind its gossip port serves without
+// gossip.
 func reservePort(t testing.TB) string {
 	t.Helper()
 	loopbackPorts.Lock()
@@ -378,7 +379,7 @@
 	t testing.TB
 	net.Conn
 	in          *bufio.Reader
-	finalAnswer string // the final answer, once wantAnswerInTime has read it
+	finalAnswer string // empty until wantAnswerInTime has read the final answer
 }
 
 func (r *relay) dial() *client {
@@ -397,7 +398,7 @@
 	return &client{t: r.t, Conn: c, in: bufio.NewReader(c)}
 }
 
-// openFlow sends the first line of request number n. extraFields is appended to it.
+// openFlow connects and sends the first line of request number n, with extraFields appended.
 func (r *relay) openFlow(n int, extraFields string) *client {
 	r.t.Helper()
 	c := r.dial()
@@ -432,7 +433,8 @@
 	}
 }
 
-// line reads a line. If the connection ends it returns the error's text instead.
+// line reads a line. If reading fails it returns the error's text instead, which is EOF after an orderly
+// close.
 func (c *client) line() string {
 	line, err := c.in.ReadString('\n')
 	if err != nil {
--- a/integration/suspend_test.go
+++ b/integration/suspend_test.go
@@ -20,7 +20,7 @@
 	s := newLineRig(t, 6, nil)
 	s.openFlows(6)
 	s.cmd.Process.Signal(syscall.SIGSTOP)
-	time.Sleep(4500 * time.Millisecond) // the call to discovery in progress has been answered
+	time.Sleep(4500 * time.Millisecond) // until discovery has answered the call in progress
 	for _, b := range s.members[1:] {
 		s.d.SetLifecycle(b.id, "DRAINING")
 	}
@@ -53,8 +53,8 @@
 }
 
 // TestSnapshotRestore: a relay that was killed continues from its snapshot, which supplies the endpoint
-// list while discovery is down and the configuration has none. A snapshot that is truncated, belongs to
-// another relay or is in an unusable directory must not prevent a start.
+// list while discovery is down and the configuration has none. A truncated snapshot, the snapshot of
+// another relay, or a state directory that is a file must not prevent a start.
 func TestSnapshotRestore(t *testing.T) {
 	s := newLineRig(t, 3, map[string]any{"operator": "127.0.0.1:0", "state": map[string]any{"dir": "state", "every_ms": 1000}, "known": nil})
 	waitFor(t, "the relay to be ready", func() bool { return s.call("GET", "/-/ready") == 200 })
--- a/integration/syscalls_test.go
+++ b/integration/syscalls_test.go
@@ -53,9 +53,9 @@
 	},
 }
 
-// TestSystemCalls: some system calls of the relay fail for a while. Every request accepted during that time
-// must get one final answer in time, open flows must stay, and no member must be considered faulty: the
-// first requests afterwards must each need only one attempt.
+// TestSystemCalls: some system calls of the relay fail for a while. Every request sent during that time
+// must get one final answer in time, open flows must stay open, and the relay must not take a member for
+// faulty: the first requests afterwards must each need only one attempt.
 func TestSystemCalls(t *testing.T) {
 	t.Parallel()
 	for name, plan := range faultPlans {
@@ -80,8 +80,8 @@
 			for n := range requestsDuring {
 				during = append(during, r.openFlow(100+n, ""))
 			}
-			if name == "accept always fails" || name == "connect always fails" { // no request is served before the faults end
-				time.Sleep(drainGrace)
+			if name == "accept always fails" || name == "connect always fails" {
+				time.Sleep(drainGrace) // no request is served before the faults end
 			} else {
 				for _, c := range during[:requestsDuring/2] {
 					c.wantAnswerInTime(sentAt)
--- a/integration/upgrade_test.go
+++ b/integration/upgrade_test.go
@@ -34,10 +34,9 @@
 	}
 }
 
-// TestUpgrade: a second process takes over and no request is rejected: clients that have connected to
-// either process and sent nothing yet, or half a line, are served; open flows last through two upgrades;
-// the id of a flow that is open at the first process is refused at the second; only the process that is
-// told to stop exits.
+// TestUpgrade: a second process takes over and no request is rejected. Clients that have connected and
+// sent nothing yet, or half a line, are served; open flows last through two upgrades; the second process
+// refuses the id of a flow that is open at the first one; only the process that gets SIGTERM exits.
 func TestUpgrade(t *testing.T) {
 	s := newOperatorRig(t, 3, nil)
 	flows := s.openFlows(6)
@@ -106,7 +105,7 @@
 			if s.memberOfFlow(c.wantLine("UP ")) == b {
 				t.Errorf("a flow went to the ejected member %s", b.id)
 			}
-			c.send("END") // frees the little capacity of the members that are left
+			c.send("END") // open flows would use up the remaining members' capacity
 			c.wantLine("BYE")
 		}
 	}
@@ -123,9 +122,9 @@
 	next.stop()
 }
 
-// TestUpgradeFails: a second process that does not start, or exits before the first one is told to
-// stop, changes nothing for the first one, and a later upgrade succeeds. Guards against a relay that
-// gets stuck with its listeners open.
+// TestUpgradeFails: a second process that does not start, or exits before the first one gets SIGTERM,
+// changes nothing for the first one, and a later upgrade succeeds. Guards against a relay that gets stuck
+// with its listeners open.
 func TestUpgradeFails(t *testing.T) {
 	s := newOperatorRig(t, 2, nil)
 	c := s.openFlow(1, "")
@@ -171,9 +170,9 @@
 	s.stop()
 }
 
-// TestUpgradeBudget: two processes together use at most the descriptors that one may use, and without a
-// free one clients are rejected at once. Guards against clients that wait in an accept queue from which
-// no process may accept them.
+// TestUpgradeBudget: two processes together use at most as many descriptors as one may use; when none is
+// free, clients are rejected at once. Guards against clients that wait in an accept queue from which no
+// process may accept them.
 func TestUpgradeBudget(t *testing.T) {
 	const sockets = 160
 	s := newOperatorRig(t, 2, map[string]any{"limits": map[string]any{"cores": 1, "memory_mb": 32, "sockets": sockets}})
@@ -207,7 +206,8 @@
 	next.stop()
 }
 
-// TestUpgradeStore: two processes write to one SQLite file, and neither rejects a request because of it.
+// TestUpgradeStore: two processes write to the same SQLite file, and neither rejects a request because of
+// the other.
 func TestUpgradeStore(t *testing.T) {
 	s := newOperatorRig(t, 2, map[string]any{"store": map[string]any{"driver": "sqlite",
 		"dsn": filepath.Join(t.TempDir(), "record.db")}})
--- a/integration/wall_clock_test.go
+++ b/integration/wall_clock_test.go
@@ -42,7 +42,7 @@
 	return path, err
 })
 
-// newFaultyRelay starts a faulty relay whose wall clock is off by step and whose system calls work.
+// newFaultyRelay starts a faulty relay whose wall clock is shifted by step and whose system calls work.
 func newFaultyRelay(t testing.TB, config string, fronts int, step time.Duration) *faultyRelay {
 	t.Helper()
 	path, err := faultyProgram()
@@ -56,7 +56,7 @@
 	return r
 }
 
-// writeFaults writes the next fault plan, and replaces the file in one step.
+// writeFaults replaces the file with the fault plan by the next plan, atomically.
 func (r *faultyRelay) writeFaults(t testing.TB, step time.Duration, plan ...callFault) {
 	t.Helper()
 	r.planNumber++
@@ -72,8 +72,8 @@
 	}
 }
 
-// setFaults replaces the fault plan: the wall clock is off by step and system calls fail as plan says. It
-// returns once the plan is in effect.
+// setFaults replaces the fault plan: the wall clock is shifted by step and system calls fail as plan says.
+// It returns once the plan is in effect.
 func (r *faultyRelay) setFaults(step time.Duration, plan ...callFault) {
 	r.t.Helper()
 	r.writeFaults(r.t, step, plan...)
@@ -103,7 +103,8 @@
 			}
 			minAge := time.Since(written.ModTime()) - socketTolerance
 			next := newFaultyRelay(t, config, 2, step)
-			maxAge := time.Since(written.ModTime()) + time.Second // a snapshot may reach the disk up to 1 s after it is taken
+			// A snapshot may reach the disk up to 1 s after it is taken.
+			maxAge := time.Since(written.ModTime()) + time.Second
 			answer, err := http.Get("http://" + next.addrs["operator"] + "/-/recovery")
 			if err != nil {
 				t.Fatal(err)
