--- a/integration/wall_clock_test.go
+++ b/integration/wall_clock_test.go
@@ -37,7 +37,7 @@
 	path := filepath.Join(filepath.Dir(program), "faulty")
 	out, err := exec.Command("go", "test", "-c", "-o", path, "dahliarudder/cmd/dahliarudder").CombinedOutput()
 	if err != nil {
-		err = fmt.Errorf("%w: %s", err, out)
+		err = fmt.Errorf("building the test binary of cmd/dahliarudder: %w, output %s", err, out)
 	}
 	return path, err
 })
