--- a/integration/crossing_stop_test.go
+++ b/integration/crossing_stop_test.go
@@ -25,7 +25,7 @@
 	wantMoved(c)
 	s.wantTimelyExit(since)
 	if n := s.attemptCount(1); n != 1 {
-		t.Errorf("%d attempts, want 1", n)
+		t.Errorf("%d attempts for the request, want 1", n)
 	}
 }
 
@@ -257,8 +257,7 @@
 	}
 }
 
-// serveOne sends a request and has it served to its end. When it returns, the relay has handled all
-// events that came before it.
+// serveOne opens flow number n and ends it. When it returns, the relay has handled all earlier events.
 func (s *scriptedRig) serveOne(n int) {
 	s.t.Helper()
 	c, a := s.newFlow(n)
@@ -322,7 +321,7 @@
 			s.waitDescriptorsReleased(before)
 			s.wantTimelyExit(s.terminate())
 			if n := s.attemptCount(1); n != 1 {
-				t.Errorf("%d attempts, want 1", n)
+				t.Errorf("%d attempts for a client that has left, want 1", n)
 			}
 		})
 	}
--- a/integration/fleet_faults_test.go
+++ b/integration/fleet_faults_test.go
@@ -26,11 +26,11 @@
 
 // waitForWithin is waitFor with a time limit of its own, for events that take longer than eventTimeout
 // or for conditions that are expensive to check.
-func waitForWithin(t *testing.T, timeout time.Duration, what string, ok func() bool) {
+func waitForWithin(t *testing.T, timeout time.Duration, event string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(timeout); !ok(); time.Sleep(50 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("timed out after %v waiting for: %s", timeout, what)
+			t.Fatalf("timed out after %v waiting for %s", timeout, event)
 		}
 	}
 }
@@ -44,8 +44,8 @@
 	})
 }
 
-// unavailableCount returns how many units of a release are out, according to relay i's own copy of
-// the record, which may be stale. It returns 0 if the relay does not answer.
+// unavailableCount returns how many relays or members a release has out of service, according to relay
+// i's own copy of the record, which may be stale. It returns 0 if the relay does not answer.
 func (f *fleetRig) unavailableCount(i int, name string) int {
 	var a rollout.ReleaseStatus
 	if f.call(i, "GET", "/-/releases/"+name+"?stale", nil, &a) != 200 {
@@ -60,9 +60,9 @@
 	return strings.LastIndex(log, "fleet: ordered to leave") > strings.LastIndex(log, "fleet: order to leave revoked")
 }
 
-// TestFleetConflictingRelease: a release that includes a unit of another release is refused with the
+// TestFleetConflictingRelease: a release that includes a member of another release is refused with the
 // other one's name, or queued if the caller asks for that; once the other release is rolled back the
-// queued one starts. Guards against two releases that act on the same unit.
+// queued one starts. Guards against two releases that act on the same member.
 func TestFleetConflictingRelease(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 3, 3, 3, nil)
@@ -104,14 +104,14 @@
 	return &rolloutWatch{f, name, map[int]int{}, -1}
 }
 
-// checkOneOut checks that at most one relay is out, both in each relay's record and by the orders
-// that the relays have logged.
-func (w *rolloutWatch) checkOneOut() {
+// checkAtMostOneOut checks that at most one relay is out of service, both in each relay's record and by
+// the orders that the relays have logged.
+func (w *rolloutWatch) checkAtMostOneOut() {
 	w.f.t.Helper()
 	leaving := 0
 	for i, r := range w.f.relays {
 		if n := w.f.unavailableCount(i, w.name); n > 1 {
-			w.f.t.Errorf("n%d's record of release %s has %d relays out, want at most 1", i, w.name, n)
+			w.f.t.Errorf("n%d's record of release %s has %d relays out of service, want at most 1", i, w.name, n)
 		}
 		if isLeaving(r) && i != w.down {
 			leaving++
@@ -131,10 +131,10 @@
 	}
 }
 
-// TestFleetLeaderKilled: the leader is killed while another relay is out by order. The release
-// continues under the next leader once the killed relay is back; no further relay is ordered to leave
-// until then, and each relay exits by order once. Guards against a new leader that does not know its
-// predecessor's orders, and against one that counts a lost relay as free budget.
+// TestFleetLeaderKilled: the leader is killed while another relay is leaving by order. The release
+// continues under the next leader once the killed relay has been restarted; no further relay is ordered
+// to leave until then, and each relay exits by order once. Guards against a new leader that does not
+// know its predecessor's orders, and against one that counts a lost relay as free budget.
 func TestFleetLeaderKilled(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 4, 3, 4, map[string]any{"relays": map[string]string{"whole": "1"}})
@@ -142,8 +142,9 @@
 	f.mustCall(3, "POST", "/-/releases", map[string]any{"name": "r", "kind": "relay", "all": true})
 	w := f.watch("r")
 	other := -1
-	waitForWithin(t, eventTimeout, "one relay to have exited, and another one that is not the leader to be leaving", func() bool {
-		w.checkOneOut()
+	const event = "one relay to have exited, and another one that is not the leader to be leaving"
+	waitForWithin(t, eventTimeout, event, func() bool {
+		w.checkAtMostOneOut()
 		w.restartExited()
 		l := f.leaderOrNone()
 		if len(w.exits) == 0 || l < 0 || isLeaving(f.relays[l]) {
@@ -158,17 +159,17 @@
 	})
 	killed := w.down
 	f.kill(killed)
-	// The leaving relay is not restarted before the killed one: while it is out it uses up the budget,
-	// so that no relay is ordered to leave twice. If both relays are voters, there is no majority and
-	// no leader until the killed one is back.
+	// The leaving relay is not restarted before the killed one: while it is out of service it uses up
+	// the budget, so that no relay is ordered to leave twice. If both relays are voters, there is no
+	// majority and no leader until the killed one runs again.
 	waitForWithin(t, eventTimeout, "another leader, or the exit of the leaving relay", func() bool {
-		w.checkOneOut()
+		w.checkAtMostOneOut()
 		return f.leaderOrNone() >= 0 || len(f.relays[other].done) > 0
 	})
 	f.start(killed)
 	w.down = -1
 	waitForWithin(t, 2*eventTimeout, "all relays to have exited by order", func() bool {
-		w.checkOneOut()
+		w.checkAtMostOneOut()
 		w.restartExited()
 		return len(w.exits) == 4
 	})
@@ -183,9 +184,9 @@
 }
 
 // TestFleetAllKilled: all relays are killed at once while one has exited by order and the next one
-// is leaving. Restarted, they continue the release to its end from their disks: at most one relay is
-// out at any time, and none exits twice, not even the one that was killed while it was leaving.
-// Guards against a release that is lost, restarted or blocked for ever by a loss of power.
+// is leaving. After their restart they complete the release with the state on their disks: at most one
+// relay is out of service at any time, and none exits twice, not even the one that was killed while it
+// was leaving. Guards against a release that is lost, restarted or blocked for ever by a loss of power.
 func TestFleetAllKilled(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 4, 3, 4, map[string]any{"relays": map[string]string{"whole": "1"}})
@@ -194,7 +195,7 @@
 	w := f.watch("r")
 	leavingRelay := func() int { return slices.IndexFunc(f.relays, isLeaving) }
 	waitForWithin(t, eventTimeout, "one relay to have exited, and another one to be leaving", func() bool {
-		w.checkOneOut()
+		w.checkAtMostOneOut()
 		w.restartExited()
 		return len(w.exits) > 0 && leavingRelay() >= 0
 	})
@@ -208,14 +209,15 @@
 	}
 	before := w.exits[ordered]
 	waitForWithin(t, 3*eventTimeout, "the release to be completed with 4 relays done", func() bool {
-		w.checkOneOut()
+		w.checkAtMostOneOut()
 		w.restartExited()
 		var a rollout.ReleaseStatus
 		return f.call(3, "GET", "/-/releases/r", nil, &a) == 200 && a.State == rollout.ReleaseCompleted && a.Counts.Done == 4
 	})
 	for i := range f.relays {
 		if n := w.exits[i]; i != ordered && n != 1 || i == ordered && n != before {
-			t.Errorf("n%d exited %d times by order; want once, and for n%d, killed while leaving, %d times", i, n, ordered, before)
+			t.Errorf("n%d exited %d times by order; want once, and for n%d, killed while leaving, %d times",
+				i, n, ordered, before)
 		}
 	}
 }
@@ -239,20 +241,20 @@
 // shortSlowStart is settingsText with a slow start of three seconds.
 var shortSlowStart = strings.Replace(settingsText, `"cold-ms":8600`, `"cold-ms":3000`, 1)
 
-// TestFleetNoMajority: two of three voters are cut off while one member of a release is out. The
-// member's owner replaces it meanwhile, so that the release would eject the next member: it does not,
-// the ejection of the first member lasts at every relay, and after the partition the release continues
-// to its end. Guards against a leader that orders what no other voter has recorded, and against relays
-// that forget an order while the record cannot be reached.
+// TestFleetNoMajority: two of three voters are cut off while a release has one member ejected. The
+// member's owner replaces it during the partition, upon which the release would eject the next member.
+// Without a majority it must not: the first member stays ejected at every relay, and the release
+// continues only after the partition. Guards against a leader that orders what no other voter has
+// recorded, and against relays that forget an order while they cannot reach the record.
 func TestFleetNoMajority(t *testing.T) {
 	t.Parallel()
 	f := newFleetWithSettings(t, shortSlowStart, 4, 3, 3, nil)
 	l := f.waitLeader()
 	f.mustCall(3, "POST", "/-/releases", map[string]any{"name": "m", "kind": "member", "names": []string{"s0", "s1"}})
 	f.logReleaseOnFailure("m")
-	out := func(i int) string { return strings.Join(f.ejectedMembers(i), " ") }
+	ejectedNames := func(i int) string { return strings.Join(f.ejectedMembers(i), " ") }
 	for i := range f.relays {
-		waitFor(t, fmt.Sprintf("n%d to see the first member ejected", i), func() bool { return out(i) != "" })
+		waitFor(t, fmt.Sprintf("n%d to see the first member ejected", i), func() bool { return ejectedNames(i) != "" })
 	}
 	waitDrained := func(name string) {
 		t.Helper()
@@ -265,7 +267,7 @@
 			return false
 		})
 	}
-	first := out(l)
+	first := ejectedNames(l)
 	firstIndex := int(first[1] - '0')
 	waitDrained(first) // from now on its owner may replace it
 	f.isolate(l, true)
@@ -273,7 +275,7 @@
 	f.restartMember(firstIndex)
 	for end := time.Now().Add(6 * time.Second); time.Now().Before(end); time.Sleep(200 * time.Millisecond) {
 		for i := range f.relays {
-			if got := out(i); got != first {
+			if got := ejectedNames(i); got != first {
 				t.Fatalf("n%d has ejected %q during the partition, want %q as before", i, got, first)
 			}
 			if n := f.flowsToMember(i, 1, firstIndex); n > 0 {
@@ -285,7 +287,7 @@
 	f.isolate((l+1)%3, false)
 	other := map[string]string{"s0": "s1", "s1": "s0"}[first]
 	for i := range f.relays {
-		waitFor(t, fmt.Sprintf("n%d to see %s ejected", i, other), func() bool { return out(i) == other })
+		waitFor(t, fmt.Sprintf("n%d to see %s ejected", i, other), func() bool { return ejectedNames(i) == other })
 	}
 	waitDrained(other)
 	f.restartMember(1 - firstIndex)
@@ -295,9 +297,9 @@
 }
 
 // TestFleetStaleOrder: a relay that was ordered to leave is suspended before it can exit; meanwhile the
-// release is halted and rolled back. When the relay continues, its exit is overdue and it knows only
-// the order to leave: it asks the leader, stays, and accepts flows. Guards against an exit by a
-// revoked order.
+// release is halted and rolled back. When the relay continues, its exit is overdue and it has not seen
+// that the order was revoked. It must ask the leader first, and then stay and accept flows. Guards
+// against an exit by a revoked order.
 func TestFleetStaleOrder(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 4, 3, 3, nil)
@@ -314,7 +316,7 @@
 	f.mustCall(3, "PUT", "/-/releases/o/back", nil)
 	time.Sleep(6 * time.Second) // longer than the relay waits for its flows to drain
 	if a := f.waitRelease(3, "o", rollout.ReleaseRollingBack); a.Counts.Out != 1 {
-		t.Errorf("while the relay is suspended the release has status %+v, want 1 relay out", a)
+		t.Errorf("while the relay is suspended the release has status %+v, want 1 relay out of service", a)
 	}
 	r.cmd.Process.Signal(syscall.SIGCONT)
 	r.waitLogged("fleet: order to leave revoked")
@@ -346,7 +348,7 @@
 		}
 	}
 	if n := f.flowsToMember(3, 24, 0); n == 0 {
-		t.Error("n3, which cannot have learned of the ejection, sends no flows to s0: the test shows nothing")
+		t.Error("n3, which cannot have learned of the ejection, sent no flows to s0, want some: the test shows nothing")
 	}
 	driftRows := func() (all []string) {
 		var a struct {
@@ -374,13 +376,17 @@
 	if n := f.flowsToMember(3, 12, 0); n > 0 {
 		t.Errorf("n3 sent %d flows to s0 after it applied the ejection", n)
 	}
-	waitForWithin(t, 2*eventTimeout, "the drift rows of n3 to disappear", func() bool { last = driftRows(); return len(last) == 0 })
+	waitForWithin(t, 2*eventTimeout, "the drift rows of n3 to disappear", func() bool {
+		last = driftRows()
+		return len(last) == 0
+	})
 }
 
-// TestFleetPausePartitioned: no relay's record reaches another one when an operator pauses a canary at
-// one relay. The pause cannot be recorded, yet every relay sets the canary's weight to zero, because
-// relays pass the pause on by gossip. The weight stays zero once the record is reachable again, until a
-// resume is recorded. Guards against a faulty build that gets flows as long as there is no majority.
+// TestFleetPausePartitioned: the consensus engines of all relays are cut off from each other when an
+// operator pauses a canary at one relay. The pause cannot be recorded, yet every relay sets the canary's
+// weight to zero, because relays pass the pause on by gossip. The weight stays zero once the engines
+// reach each other again, until a resume is recorded. Guards against a faulty build that gets flows as
+// long as there is no majority.
 func TestFleetPausePartitioned(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 4, 3, 4, nil)
@@ -408,7 +414,7 @@
 		f.isolate(i, true)
 	}
 	if flows() == 0 {
-		t.Error("no flow reached the canary's member before the pause")
+		t.Error("no flow reached the canary's member before the pause, want some")
 	}
 	paused := time.Now()
 	answered := make(chan int, 1)
@@ -416,7 +422,7 @@
 	waitWeight("map[c:0]")
 	t.Logf("weight zero at all relays after %v", time.Since(paused).Round(time.Millisecond))
 	if k := flows(); k > 0 {
-		t.Errorf("%d flows reached the member of a paused canary", k)
+		t.Errorf("%d flows reached the member of a paused canary, want 0", k)
 	}
 	if code := <-answered; code == 200 {
 		t.Error("PUT pause without a majority = 200, want a failure")
@@ -439,20 +445,20 @@
 	}
 	t.Logf("canaries after the pause was recorded: %+v", a)
 	if k := flows(); k > 0 {
-		t.Errorf("%d flows reached the member of a paused canary after the pause was recorded", k)
+		t.Errorf("%d flows reached the member of a paused canary after the pause was recorded, want 0", k)
 	}
 	f.mustCall(1, "PUT", "/-/canaries/c/resume", nil)
 	waitWeight("map[c:500]")
 	if flows() == 0 {
-		t.Error("no flow reached the canary's member after the resume")
+		t.Error("no flow reached the canary's member after the resume, want some")
 	}
 }
 
-// TestFleetPermits: two owners request a permit for one member each, and one member may be out. The
-// second request waits, is answered with a reason and a time to retry, and keeps its number. It is
-// granted once the first member, restarted, has its full capacity according to the relays'
-// observations, not according to its owner. Calls with a finished number are refused. Guards against a
-// budget that is granted twice.
+// TestFleetPermits: two owners request a permit for one member each, but only one member at a time may
+// be out of service. The second permit waits: its requests are answered with a reason and a time to
+// retry, and it keeps its number. It is granted once the first member has been restarted and has its
+// full capacity according to the relays' observations; its owner's call "done" is not enough. Calls for
+// a finished permit are refused. Guards against a budget that is granted twice.
 func TestFleetPermits(t *testing.T) {
 	t.Parallel()
 	f := newFleetWithSettings(t, strings.Replace(settingsText, `"cold-ms":8600`, `"cold-ms":7000`, 1), 4, 3, 3, nil)
@@ -478,8 +484,8 @@
 		t.Errorf("bob's permit for s1 = %+v, want a waiting one with a reason and a retry time", b)
 	}
 	if a.Number != first.Number || b.Number != second.Number || a.Number == b.Number || a.RemainingMS <= 0 {
-		t.Errorf("ann's permit = %+v, first answered with %+v; bob's = %+v, first answered with %+v; want unchanged, different numbers and time left for ann's",
-			a, first, b, second)
+		t.Errorf("ann's permit = %+v, first answered with %+v; bob's = %+v, first answered with %+v; "+
+			"want unchanged, different numbers and time left for ann's", a, first, b, second)
 	}
 	if code := f.call(0, "PUT", fmt.Sprintf("/-/permits/%d/begin", b.Number), nil, nil); code != 409 {
 		t.Errorf("begin of a waiting permit = %d, want 409", code)
@@ -494,7 +500,7 @@
 		return b.State == string(rollout.PermitGranted)
 	})
 	if took < 7*time.Second { // the slow start of the settings above: s0 lacks full capacity until then
-		t.Errorf("bob's permit was granted %v after s0 restarted, while s0 was in slow start", took)
+		t.Errorf("bob's permit was granted %v after s0 restarted, want at least 7 s, the slow start of s0", took)
 	}
 	if b.Number != second.Number {
 		t.Errorf("bob's permit was granted under number %d, want %d as first answered", b.Number, second.Number)
@@ -541,8 +547,8 @@
 }
 
 // TestFleetStartPartitioned: a voter and a follower that are restarted while they are cut off from the
-// record keep the ejections that they knew: they send no flow to an ejected member. Guards against a
-// restart that bypasses an ejection.
+// record keep the ejections that they have stored: they send no flow to an ejected member. Guards
+// against a restart that bypasses an ejection.
 func TestFleetStartPartitioned(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 4, 3, 3, nil)
--- a/integration/fleet_test.go
+++ b/integration/fleet_test.go
@@ -30,19 +30,20 @@
 	conf        []string
 	recordAddrs []string            // where each relay's consensus engine listens
 	proxies     [][]*fakes.TCPProxy // by dialing relay and dialed relay; nil entries for none
-	groups      int                 // flow groups used so far
+	groups      int                 // number of flow groups used so far
 }
 
 const fleetKey = gossipRigKey
 
 // newFleet starts n relays, of which the first voters relays are voters, and a number of members with
-// unlimited capacity. out is the section "out" of the fleet configuration, the disruption budgets.
-func newFleet(t *testing.T, n, voters, members int, out map[string]any) *fleetRig {
-	return newFleetWithSettings(t, settingsText, n, voters, members, out)
+// unlimited capacity. budgets is the section "out" of the fleet configuration: how many relays and
+// members may be out of service at once.
+func newFleet(t *testing.T, n, voters, members int, budgets map[string]any) *fleetRig {
+	return newFleetWithSettings(t, settingsText, n, voters, members, budgets)
 }
 
 // newFleetWithSettings is newFleet with other settings than settingsText.
-func newFleetWithSettings(t *testing.T, settings string, n, voters, members int, out map[string]any) *fleetRig {
+func newFleetWithSettings(t *testing.T, settings string, n, voters, members int, budgets map[string]any) *fleetRig {
 	f := &fleetRig{t: t}
 	var list []member
 	for i := range members {
@@ -77,7 +78,7 @@
 		path := configure(t, f.d, map[string]any{"name": fmt.Sprintf("n%d", i), "operator": "127.0.0.1:0", "seed": fmt.Sprintf("%x", 99+i),
 			"settings": json.RawMessage(strings.Replace(settings, `"balancers":1`, fmt.Sprintf(`"balancers":%d`, n), 1)),
 			"peers":    map[string]any{"listen": gossip[i], "known": gossip[:min(2, n)], "key_file": "key"},
-			"fleet":    map[string]any{"listen": f.recordAddrs[i], "calls": "127.0.0.1:0", "dir": "record", "voters": votes, "reach": reach, "out": out}})
+			"fleet":    map[string]any{"listen": f.recordAddrs[i], "calls": "127.0.0.1:0", "dir": "record", "voters": votes, "reach": reach, "out": budgets}})
 		writeFile(t, filepath.Join(filepath.Dir(path), "key"), fleetKey+"\n")
 		f.conf, f.relays = append(f.conf, path), append(f.relays, nil)
 	}
@@ -100,18 +101,19 @@
 	}
 }
 
-// setEverywhere disables or enables a member by calls at relay i until the record has it: without a
-// leader such a call applies to that relay alone.
-func (f *fleetRig) setEverywhere(i int, member string, out bool) {
+// setEverywhere ejects or reinstates a member by a call at relay i. It repeats the call until the
+// relay's record shows the change: without a leader the call applies to that relay alone.
+func (f *fleetRig) setEverywhere(i int, member string, ejected bool) {
 	f.t.Helper()
-	path := map[bool]string{true: "/disable", false: "/enable"}[out]
-	waitFor(f.t, member+path, func() bool {
-		return f.relays[i].call("PUT", "/-/backends/"+member+path) == 200 && slices.Contains(f.ejectedMembers(i), member) == out
+	path := map[bool]string{true: "/disable", false: "/enable"}[ejected]
+	waitFor(f.t, fmt.Sprintf("the record of n%d to have %s%s", i, member, path), func() bool {
+		return f.relays[i].call("PUT", "/-/backends/"+member+path) == 200 &&
+			slices.Contains(f.ejectedMembers(i), member) == ejected
 	})
 }
 
-// waitAccepting waits until relay i accepts flows. Until it has received the record, or has given up
-// waiting for it, it answers BUSY.
+// waitAccepting waits until relay i accepts flows. A started relay answers BUSY until it has received
+// the record or has given up waiting for it.
 func (f *fleetRig) waitAccepting(i int) {
 	f.t.Helper()
 	waitFor(f.t, fmt.Sprintf("n%d to accept flows", i), func() bool {
@@ -272,7 +274,7 @@
 }
 
 // TestFleetRelease: one release restarts all relays, including the leader. Each relay exits by order
-// and comes back, and the release is completed.
+// once and is started again by the test, and the release is completed.
 func TestFleetRelease(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 4, 3, 4, map[string]any{"relays": map[string]string{"whole": "1"}, "members": map[string]string{"whole": "1"}})
@@ -382,8 +384,8 @@
 }
 
 // TestFleetPartition: a relay that is cut off from the record answers a new release with a failure. An
-// ejection there applies to that relay alone, and is reported as drift once the relay is back, until
-// an operator lifts it there.
+// ejection there applies to that relay alone. Once the relay is connected again, the ejection is
+// reported as drift until an operator lifts it there.
 func TestFleetPartition(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 4, 3, 3, nil)
@@ -398,7 +400,9 @@
 		t.Errorf("n%d sent %d flows to s2, which is ejected there", cut, n)
 	}
 	f.isolate(cut, false)
-	waitFor(t, fmt.Sprintf("the ejection at n%d to be reported as drift", cut), func() bool { return f.localEjections(cut) == 1 })
+	waitFor(t, fmt.Sprintf("the ejection at n%d to be reported as drift", cut), func() bool {
+		return f.localEjections(cut) == 1
+	})
 	f.relays[cut].mustPut("/-/backends/s2/enable")
 	waitFor(t, fmt.Sprintf("the drift of n%d to end", cut), func() bool { return f.localEjections(cut) == 0 })
 }
@@ -459,7 +463,7 @@
 	}
 	f := newFleet(t, n, 3, 4, nil)
 	l := f.waitLeader()
-	waitFor(t, "the leader to have reports of all relays", func() bool {
+	waitFor(t, "the leader to list a report of each relay", func() bool {
 		var a struct{ Relays map[string]any }
 		f.call(l, "GET", "/-/fleet", nil, &a)
 		return len(a.Relays) == n
@@ -475,13 +479,15 @@
 					time.Sleep(5 * time.Millisecond)
 				}
 				if took[i] = time.Since(from); !ok(i) {
-					t.Errorf("%s: n%d did not apply it within %v", what, i, eventTimeout) // the failure logs the relays' output
+					// A failed test also logs the relays' output.
+					t.Errorf("%s: n%d did not apply it within %v", what, i, eventTimeout)
 				}
 			}()
 		}
 		all.Wait()
 		slices.Sort(took)
-		t.Logf("%s: p50 %v, last of %d relays %v", what, took[n/2].Round(time.Millisecond), n, took[n-1].Round(time.Millisecond))
+		t.Logf("%s: p50 %v, last of %d relays %v",
+			what, took[n/2].Round(time.Millisecond), n, took[n-1].Round(time.Millisecond))
 		return took
 	}
 	loggedAgain := func(text string) func(int) bool {
@@ -514,7 +520,8 @@
 	}
 	pause := f.request(n-1, "PUT", "/-/canaries/c1/pause", nil)
 	go f.send(n-1, pause, nil)
-	// A relay that has not reached the record for long may have set the weight to zero before the pause.
+	// A relay that has been cut off from the record for some time may set the weight to zero even before
+	// the pause reaches it.
 	measure("a pause without a majority", func(i int) bool {
 		log := f.relays[i].log.String()
 		return strings.LastIndex(log, "map[c1:0]") > strings.LastIndex(log, "map[c1:300]")
--- a/integration/line_test.go
+++ b/integration/line_test.go
@@ -52,8 +52,9 @@
 	return nil
 }
 
-// TestFlow: flows are accepted with the member's receipt, lines pass both ways unchanged, the first line
-// changes in its field d only, and a flow that is served ends with an orderly close.
+// TestFlow: the client gets the UP line of the member that accepted its flow, lines pass both ways
+// unchanged, the relay changes only the field d of the first line, and a flow that the member ends with
+// BYE ends with an orderly close.
 func TestFlow(t *testing.T) {
 	s := newLineRig(t, 3, nil)
 	for n := range 20 {
@@ -84,7 +85,8 @@
 	s.stop()
 }
 
-// TestPing: PING is the readiness check of a front proxy; the connection stays usable after it.
+// TestPing: a front proxy checks with PING whether the relay is ready; the connection stays usable after
+// it, for further PINGs and for a request.
 func TestPing(t *testing.T) {
 	s := newLineRig(t, 1, nil)
 	c := s.dial()
@@ -204,8 +206,8 @@
 	c.wantLine("ERR")
 }
 
-// TestTerminate: on a signal to end, each client with an open flow gets MOVE, new requests are rejected,
-// PING is answered ERR, and the program exits without an error.
+// TestTerminate: after SIGINT each client with an open flow gets MOVE, new requests are rejected, PING is
+// answered ERR, and the program exits without an error.
 func TestTerminate(t *testing.T) {
 	s := newLineRig(t, 2, nil)
 	flows := s.openFlows(10)
@@ -221,7 +223,7 @@
 	late.wantLine(io.EOF.Error())
 	wantMoved(flows...)
 	if err := <-s.done; err != nil {
-		t.Errorf("the relay ended with %v, want exit code 0", err)
+		t.Errorf("the relay exited with %v, want no error", err)
 	}
 	checkAttemptCounter(t, s.attemptCounter)
 }
@@ -375,7 +377,7 @@
 		})
 	}
 	if out, err := runCommand("version"); err != nil || !strings.HasPrefix(out, "dahliarudder ") {
-		t.Errorf("version: output %q, error %v", out, err)
+		t.Errorf("version: output %q, error %v, want output that begins with \"dahliarudder \"", out, err)
 	}
 }
 
@@ -394,18 +396,21 @@
 		case strings.HasPrefix(answer, "BUSY "):
 			busy++
 		default:
-			t.Fatalf("answered %q, want UP or BUSY", answer)
+			t.Fatalf("request %d was answered %q, want UP or BUSY", n, answer)
 		}
 	}
 	if up == 0 || busy == 0 {
-		t.Errorf("%d requests accepted and %d rejected, want some of each", up, busy)
+		t.Errorf("%d requests were accepted and %d rejected, want some of each", up, busy)
 	}
 	for _, c := range clients {
 		c.Close()
 	}
 	waitFor(t, "all flows at the member to end", func() bool { return s.members[0].OpenFlows() == 0 })
 	n := 1000
-	waitFor(t, "a request to be accepted", func() bool { n++; return strings.HasPrefix(s.openFlow(n, "").line(), "UP ") })
+	waitFor(t, "a request to be accepted", func() bool {
+		n++
+		return strings.HasPrefix(s.openFlow(n, "").line(), "UP ")
+	})
 	s.stop()
 }
 
@@ -431,8 +436,8 @@
 	s.stop()
 }
 
-// TestCounts: with counts_ms set, the relay logs its counts at that interval, and their sum over the
-// intervals is what happened.
+// TestCounts: with counts_ms set, the relay logs at that interval what it has counted since the last
+// time, and the logged counts of requests add up to the number of requests.
 func TestCounts(t *testing.T) {
 	s := newLineRig(t, 2, map[string]any{"counts_ms": 100})
 	for n := range 5 {
--- a/integration/nats_chaos_test.go
+++ b/integration/nats_chaos_test.go
@@ -20,7 +20,7 @@
 	latest     map[string]int  // by client and subject: the highest number accepted so far
 	seen       map[string]bool // payloads that a node has accepted
 	rejected   map[string]int  // by client: rejections that the client received
-	outOfOrder []string        // first arrivals after one with a higher number
+	outOfOrder []string        // publications that first arrived after one with a higher number
 }
 
 // record records a publication; the cluster calls it for each one that a node accepts.
@@ -42,11 +42,12 @@
 	l.latest[key] = max(l.latest[key], n)
 }
 
-// TestNATSChaos: clients publish while members are killed, restarted and drained, refuse, reset or
-// stop answering at random. Counted by payload at the members, no publication has two attempts in
-// flight or more than three attempts. Each publication is answered: the client's flush returns, and a
-// publication that no member accepted was reported as rejected. First arrivals keep the order of their
-// client and subject. In the end every subscription is at exactly one member.
+// TestNATSChaos: clients publish while members, at random, are killed, restarted and drained, or refuse,
+// reset or stop answering. Counted by payload at the members, no publication has two attempts in flight
+// or more than three attempts. Each publication is answered: the client's flush returns, and the client
+// is notified of the rejection of each publication that no member accepted. The publications of a client
+// to a subject first arrive in the order in which it sent them. In the end every subscription is at
+// exactly one member.
 func TestNATSChaos(t *testing.T) {
 	for _, seed := range []uint64{1, 2, 3} {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -124,12 +125,13 @@
 					}
 				}
 				if reported := published.rejected[fmt.Sprint(i)]; lost > reported {
-					t.Errorf("client %d: %d publications were accepted by no member, and only %d were reported as rejected", i, lost, reported)
+					t.Errorf("client %d: %d publications were accepted by no member, but only %d were reported as rejected",
+						i, lost, reported)
 				}
 				rejected += published.rejected[fmt.Sprint(i)]
 			}
 			for _, u := range published.outOfOrder {
-				t.Error("publications of one client and subject out of order: ", u)
+				t.Errorf("publications of one client and subject arrived out of order: %s", u)
 			}
 			accepted := len(published.seen)
 			published.mu.Unlock()
@@ -195,9 +197,9 @@
 	}
 }
 
-// TestNATSDrainUnderLoad: while a client publishes, each node in turn drains. Within the grace of
-// 250 ms, plus a large allowance for a busy machine, the node has no subscription, and each
-// subscription is at exactly one other node.
+// TestNATSDrainUnderLoad: while a client publishes, each node in turn drains. After the grace of 250 ms,
+// plus a large allowance for a busy machine, the node must have no subscription left, and each
+// subscription must be at exactly one other node.
 func TestNATSDrainUnderLoad(t *testing.T) {
 	const allowance, subscriptions = 3 * time.Second, 60
 	k := newCluster(t, 3)
@@ -248,7 +250,9 @@
 			if wrong == 0 {
 				break
 			}
-			if last = fmt.Sprintf("%d subscriptions at the draining node, subscriptions by subject %v", remaining, count); time.Since(drained) > 250*time.Millisecond+allowance {
+			last = fmt.Sprintf("%d subscriptions at the draining node, want 0; subscriptions by subject %v, want one each",
+				remaining, count)
+			if time.Since(drained) > 250*time.Millisecond+allowance {
 				t.Fatalf("%v after the start of the drain: %s", time.Since(drained), last)
 			}
 			time.Sleep(5 * time.Millisecond)
--- a/integration/nats_conformance_own_test.go
+++ b/integration/nats_conformance_own_test.go
@@ -38,8 +38,8 @@
 	return c
 }
 
-// answerRequests subscribes to each subject and answers its requests with the result of the function;
-// an empty result is not sent.
+// answerRequests subscribes to each subject of answers and answers requests on it with the result of
+// its function; an empty result is not sent.
 func answerRequests(t *testing.T, c *nats.Conn, answers map[string]func(m *nats.Msg) string) {
 	t.Helper()
 	for subject, f := range answers {
@@ -138,12 +138,13 @@
 // ---- Clauses that need a relay of their own ----
 
 // minCostHash returns a bcrypt hash of the least cost, which is quick to compute.
-func minCostHash(word string) string {
-	h, _ := bcrypt.GenerateFromPassword([]byte(word), bcrypt.MinCost)
+func minCostHash(password string) string {
+	h, _ := bcrypt.GenerateFromPassword([]byte(password), bcrypt.MinCost)
 	return string(h)
 }
 
-// withFront returns a clause test with a relay of its own, which has further keys of the NATS front.
+// withFront returns a clause test that runs with a relay of its own, to whose NATS front it adds the keys
+// of front.
 func withFront(front map[string]any, test func(t *testing.T, s *conformanceRig)) func(*testing.T, *conformanceRig) {
 	return func(t *testing.T, _ *conformanceRig) { test(t, newConformanceRig(t, front)) }
 }
@@ -203,7 +204,8 @@
 			line := slow.line()
 			if line == "EOF" || strings.Contains(line, "reset") {
 				if last != "" && last != "-ERR 'Slow Consumer'" && len(last) < 100 {
-					t.Errorf("last line before the slow consumer's connection ended = %q, want -ERR 'Slow Consumer' or a payload", last)
+					t.Errorf("last line before the slow consumer's connection ended = %q, "+
+						"want -ERR 'Slow Consumer' or a payload", last)
 				}
 				return
 			}
@@ -255,8 +257,8 @@
 			`-ERR 'Permissions Violation for Subscription to "other"'`, `-ERR 'Permissions Violation for Subscription to "in.secret"'`,
 			`-ERR 'Permissions Violation for Subscription to "work.a"'`, "PONG")
 		all.sendLines("SUB box 1", "PUB in.secret 1", "1", "PUB in.open box 1", "2", "PING")
-		// Read PONG before few replies: PONG waits for all links of this client, so that the reply on one
-		// of them could overtake it.
+		// Read PONG before the client few replies: the relay sends PONG only once all links of this client
+		// have answered, so that a reply that arrives on one of them could overtake it.
 		all.wantLines("PONG")
 		few.wantLines("MSG in.open 5 box 1", "2") // the wildcard subscription does not deliver a denied subject
 		few.sendLines("PUB box 2", "ok", "PUB box 2", "no", "PING")
@@ -314,7 +316,9 @@
 			writeFile(t, to, string(text))
 		}
 		s.reload()
-		waitFor(t, "the new certificate", func() bool { return s.connectError(nats.RootCAs(next.file)) == nil })
+		waitFor(t, "the relay to use the new certificate", func() bool {
+			return s.connectError(nats.RootCAs(next.file)) == nil
+		})
 		s.wantAdmission(t, false, nats.RootCAs(ca.file))
 		flush(t, connected) // the client that connected before stays connected
 	}},
--- a/integration/nats_load_test.go
+++ b/integration/nats_load_test.go
@@ -13,16 +13,16 @@
 	"dahliarudder/internal/fakes"
 )
 
-// patientSettings returns settingsText with deadlines so long that no request is rejected for them on
-// a busy machine. With probes false members have no health checks, so that a busy machine cannot have
-// them ejected either.
-func patientSettings(probes bool) json.RawMessage {
+// longDeadlineSettings returns settingsText with deadlines so long that a busy machine does not make the
+// relay reject requests because of them. With probes false the relay makes no health checks, so that a
+// busy machine does not make it eject members either.
+func longDeadlineSettings(probes bool) json.RawMessage {
 	return json.RawMessage(strings.NewReplacer(`"deadline-ms":3000`, `"deadline-ms":25000`, `"deadline-ms":2000`, `"deadline-ms":25000`,
 		`"probes":true`, fmt.Sprintf(`"probes":%v`, probes)).Replace(settingsText))
 }
 
-// natsRelay starts a relay whose only front is NATS, with further keys of that front, for the nodes of
-// a cluster.
+// natsRelay starts a relay whose only front is NATS, with front as further keys of that front, for the
+// nodes of a cluster.
 func natsRelay(t testing.TB, k *fakes.NATSCluster, front map[string]any) *relay {
 	t.Helper()
 	d := newDiscovery(t, natsMembers(k)...)
@@ -30,7 +30,7 @@
 	for key, v := range front {
 		set[key] = v
 	}
-	return start(t, configure(t, d, map[string]any{"fronts": map[string]any{"nats": set}, "settings": patientSettings(true),
+	return start(t, configure(t, d, map[string]any{"fronts": map[string]any{"nats": set}, "settings": longDeadlineSettings(true),
 		"limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": 24000}}), 1)
 }
 
@@ -70,7 +70,11 @@
 			if err := c.FlushTimeout(eventTimeout); err != nil {
 				t.Fatal(err)
 			}
-			waitFor(t, "all messages to arrive", func() bool { mu.Lock(); defer mu.Unlock(); return got == publications })
+			waitFor(t, "all published messages to arrive", func() bool {
+				mu.Lock()
+				defer mu.Unlock()
+				return got == publications
+			})
 			if rejected > 0 {
 				t.Errorf("%d of %d publications were rejected, want none", rejected, publications)
 			}
--- a/integration/nats_test.go
+++ b/integration/nats_test.go
@@ -110,7 +110,7 @@
 		case m := <-shared:
 			seen[string(m.Data)]++
 		case <-time.After(eventTimeout):
-			t.Fatalf("%d of 20 jobs arrived within %v", len(seen), eventTimeout)
+			t.Fatalf("%d of 20 jobs arrived, and no further one within %v", len(seen), eventTimeout)
 		}
 	}
 	if len(seen) != 20 || len(shared) != 0 {
@@ -125,7 +125,9 @@
 	s.flush(b)
 	must[*nats.Msg](t)(few.NextMsg(eventTimeout))
 	must[*nats.Msg](t)(few.NextMsg(eventTimeout))
-	waitFor(t, "the nodes to have no subscription to few", func() bool { return fmt.Sprint(s.k.Subscriptions("few")) == "[0 0 0]" })
+	waitFor(t, "the nodes to have no subscription to few", func() bool {
+		return fmt.Sprint(s.k.Subscriptions("few")) == "[0 0 0]"
+	})
 	if err := b.Publish("status.big", make([]byte, 70000)); !errors.Is(err, nats.ErrMaxPayload) {
 		t.Errorf("publishing a payload over the limit: error %v, want %v", err, nats.ErrMaxPayload)
 	}
@@ -166,7 +168,7 @@
 		select {
 		case <-got:
 		case <-time.After(eventTimeout):
-			t.Fatalf("%d of 8 messages arrived after the drain", n)
+			t.Fatalf("%d of 8 messages arrived after the drain, and no further one within %v", n, eventTimeout)
 		}
 	}
 	c.Close()
@@ -176,9 +178,9 @@
 	s.checkStored(map[string]int{"served": 8 + 1}) // a minimum: the moved subscriptions are recorded too
 }
 
-// checkStored checks the store's contents: each attempt has a recorded request, the attempts of a
-// request do not overlap, there are three at most, and their number is the recorded one. minimum is the
-// least number of requests with each final answer.
+// checkStored checks the store's contents: each attempt belongs to a recorded request, a request has at
+// most three attempts, they do not overlap, and there are as many as the requests' tries add up to.
+// minimum is the least number of requests by final answer.
 func (s *natsRig) checkStored(minimum map[string]int) {
 	s.t.Helper()
 	count := s.queryCount
@@ -188,17 +190,17 @@
 		}
 	}
 	if n := count("SELECT count(*) FROM requests WHERE tries > 3"); n > 0 {
-		s.t.Errorf("%d requests recorded with more than three attempts", n)
+		s.t.Errorf("%d requests recorded with more than three attempts, want 0", n)
 	}
 	if n := count(`SELECT count(*) FROM attempts a JOIN attempts b ON a.run = b.run AND a.request = b.request
 		AND a.try < b.try AND b.start_us < a.end_us`); n > 0 {
-		s.t.Errorf("%d pairs of overlapping attempts of one request recorded", n)
+		s.t.Errorf("%d pairs of overlapping attempts of one request recorded, want 0", n)
 	}
 	if n := count(`SELECT count(*) FROM attempts a LEFT JOIN requests r ON a.run = r.run AND a.request = r.id WHERE r.id IS NULL`); n > 0 {
-		s.t.Errorf("%d attempts recorded without a final answer of their request", n)
+		s.t.Errorf("%d attempts recorded without a final answer of their request, want 0", n)
 	}
 	if a, t := count("SELECT count(*) FROM attempts"), count("SELECT coalesce(sum(tries), 0) FROM requests"); a != t {
-		s.t.Errorf("%d attempts recorded, but the requests count %d", a, t)
+		s.t.Errorf("%d attempts recorded, want %d, the sum of the requests' tries", a, t)
 	}
 }
 
@@ -239,10 +241,10 @@
 			s.stop()
 			s.checkStored(map[string]int{"served": 1})
 			if n := s.queryCount("SELECT count(*) FROM requests WHERE name LIKE 'PUB job.%'"); n != jobs+1 {
-				t.Errorf("%d final answers recorded for %d publications", n, jobs+1)
+				t.Errorf("%d final answers recorded for %d publications, want one each", n, jobs+1)
 			}
 			if n := s.queryCount("SELECT count(*) FROM attempts WHERE result NOT IN ('ok', 'cancelled')"); n == 0 {
-				t.Error("no attempt failed, so that the test shows no retry")
+				t.Error("no attempt failed, want some: the test shows no retry")
 			}
 		})
 	}
@@ -378,8 +380,8 @@
 	s.stop()
 }
 
-// TestDeployed: the shipped configuration deploy/nats.json works as docs/nats.md describes: with trial
-// certificates, over TLS, for its configured users.
+// TestDeployed: the shipped configuration deploy/nats.json works as docs/nats.md describes: over TLS, with
+// certificates made by the command "keys certificate", for its configured users.
 func TestDeployed(t *testing.T) {
 	dir := t.TempDir()
 	if out, err := runCommand("keys", "certificate", "--dir", filepath.Join(dir, "tls")); err != nil {
@@ -401,15 +403,15 @@
 	}
 	r := start(t, path, 1)
 	ca := nats.RootCAs(filepath.Join(dir, "tls", "ca.pem"))
-	connect := func(user, word string) (*nats.Conn, error) {
-		return nats.Connect("nats://"+r.addrs["nats"], ca, nats.UserInfo(user, word), nats.Timeout(eventTimeout), nats.NoReconnect())
+	connect := func(user, password string) (*nats.Conn, error) {
+		return nats.Connect("nats://"+r.addrs["nats"], ca, nats.UserInfo(user, password), nats.Timeout(eventTimeout), nats.NoReconnect())
 	}
 	desk := must[*nats.Conn](t)(connect("status-desk", "desk-trial"))
 	defer desk.Close()
 	billing := must[*nats.Conn](t)(connect("billing", "billing-trial"))
 	defer billing.Close()
 	if _, err := connect("billing", "desk-trial"); err == nil {
-		t.Error("user billing is admitted with a wrong password")
+		t.Error("user billing was admitted with a wrong password, want an error")
 	}
 	sub := must[*nats.Subscription](t)(desk.SubscribeSync("status.>"))
 	flush(t, desk)
@@ -480,8 +482,8 @@
 // TestNATSClientGone: a publication whose client disconnects while it is in flight or waits for another
 // attempt is not retried; publications of other clients are not affected.
 func TestNATSClientGone(t *testing.T) {
-	for what, mode := range map[string]fakes.NodeMode{"in flight at a silent node": fakes.NodeSilent, "refused by a node": fakes.NodeRefuses, "reset by a node": fakes.NodeResets} {
-		t.Run(what, func(t *testing.T) {
+	for name, mode := range map[string]fakes.NodeMode{"in flight at a silent node": fakes.NodeSilent, "refused by a node": fakes.NodeRefuses, "reset by a node": fakes.NodeResets} {
+		t.Run(name, func(t *testing.T) {
 			k := newCluster(t, 2)
 			r := natsRelay(t, k, nil)
 			for _, o := range k.Nodes {
@@ -499,7 +501,9 @@
 			waitFor(t, "the first attempt to reach a node", func() bool { return published() > 0 })
 			c.Conn.(*net.TCPConn).SetLinger(0)
 			c.Close()
-			waitFor(t, "the relay to close its connections to the nodes", func() bool { return k.Nodes[0].Connections()+k.Nodes[1].Connections() == 0 })
+			waitFor(t, "the relay to close its connections to the nodes", func() bool {
+				return k.Nodes[0].Connections()+k.Nodes[1].Connections() == 0
+			})
 			before := published()
 			for _, o := range k.Nodes {
 				o.SetMode(fakes.NodeHealthy)
@@ -509,7 +513,7 @@
 			other.send("CONNECT {}\r\nPUB s 5\r\nstays\r\nPING")
 			other.wantLine("PONG")
 			if n := published() - before; n != 1 {
-				t.Errorf("the nodes accepted %d publications after the client had gone, want only the one of the other client", n)
+				t.Errorf("the nodes accepted %d publications after the client had left, want only the other client's", n)
 			}
 			for _, violation := range k.Attempts.Violations() {
 				t.Error(violation)
--- a/integration/peers_test.go
+++ b/integration/peers_test.go
@@ -134,8 +134,8 @@
 	}
 }
 
-// cut cuts the links from the relays below side to the others, or restores them; with both set, also
-// the links in the other direction.
+// cut cuts the links from the relays numbered below side to the others, or restores them if on is false;
+// with both set, also the links in the other direction.
 func (c *gossipRig) cut(side int, on, both bool) {
 	for i, row := range c.links {
 		for j, l := range row {
@@ -147,9 +147,9 @@
 }
 
 // TestPeersProcesses: relays that start together, with one known address down, find each other. A
-// killed relay is reported as gone, because its port refuses connections, and as alive again when it is
-// back without its state. A suspended relay is reported as dead and, when it continues, as alive. A
-// relay that exits by itself has announced this and is reported as left.
+// killed relay is reported as "gone", because its port refuses connections, and as "alive" once it has
+// been started again without its state. A suspended relay is reported as "dead" and, when it continues,
+// as "alive". A relay that exits after SIGTERM announces this and is reported as "left".
 func TestPeersProcesses(t *testing.T) {
 	c := newGossipRig(t, 4, false)
 	c.waitAllAlive()
@@ -187,14 +187,16 @@
 func TestPeersLinks(t *testing.T) {
 	c := newGossipRig(t, 5, true)
 	c.waitAllAlive()
-	waitFor(t, "n0 and n4 to divide the budgets by five", func() bool { return c.peersAnswer(0).Share == 5 && c.peersAnswer(4).Share == 5 })
+	waitFor(t, "n0 and n4 to divide the budgets by five", func() bool {
+		return c.peersAnswer(0).Share == 5 && c.peersAnswer(4).Share == 5
+	})
 	c.cut(2, true, true)
 	c.waitSeen(0, 4, "dead")
 	c.waitSeen(4, 0, "dead")
 	for i := range c.relays {
 		waitFor(t, fmt.Sprintf("n%d to divide the budgets according to its side of the cut", i), func() bool {
 			if share := c.peersAnswer(i).Share; i >= 2 {
-				return share <= 4 && share >= 3 // majority, three of five; the divisor falls by a fifth at most in 5 s
+				return share <= 4 && share >= 3 // majority, three of five; the divisor falls by at most a fifth in 5 s
 			} else {
 				return share == 10 // minority, two of five: half of a fifth
 			}
@@ -222,7 +224,7 @@
 	}
 	c.waitAllAlive()
 
-	// Datagrams that no peer has sent, or that repeat an earlier one, are refused and counted by reason.
+	// n1 refuses datagrams that no peer has sent, or that repeat an earlier one, and counts them by reason.
 	l := c.links[0][1]
 	datagram, _ := l.Last()
 	l.Inject(datagram)
@@ -240,9 +242,9 @@
 	c.waitAllAlive()
 }
 
-// TestPeersDuplicateName: two processes have one name. The others accept the later one, refuse the
-// earlier one with this reason, and report no relay as dead. Once both are killed and one process with
-// that name is started again, all relays see each other as alive.
+// TestPeersDuplicateName: two processes have the same name. The others accept the later one, refuse the
+// datagrams of the earlier one with this reason, and report no relay as dead. Once both are killed and
+// one process with that name is started again, all relays report each other as alive.
 func TestPeersDuplicateName(t *testing.T) {
 	c := newGossipRig(t, 3, false)
 	c.waitAllAlive()
@@ -325,19 +327,24 @@
 	c.relays[0].reload(c.d.addr, proxy.Addr())
 	c.waitAllAlive()
 	generation := func(i int) uint64 { return c.peersAnswer(i).Self.Generation }
-	waitFor(t, "all relays to have the list of generation 3", func() bool { return generation(0) == 3 && generation(1) == 3 && generation(2) == 3 })
+	waitFor(t, "all relays to have the list of generation 3", func() bool {
+		return generation(0) == 3 && generation(1) == 3 && generation(2) == 3
+	})
 	time.Sleep(200 * time.Millisecond) // until n0 has sent its next call to discovery
 	proxy.Stall()
 	c.d.SetLifecycle(b.id, "DRAINING")
-	waitFor(t, "n0 to have the list of generation 4", func() bool { time.Sleep(50 * time.Millisecond); return generation(0) == 4 })
+	waitFor(t, "n0 to have the list of generation 4", func() bool {
+		time.Sleep(50 * time.Millisecond)
+		return generation(0) == 4
+	})
 	c.relays[0].waitLogged("other relays hold a newer list")
 	if strings.Contains(c.relays[0].log.String(), "no answer in time") {
-		t.Error("n0's own call to discovery timed out before it polled again")
+		t.Error("n0's own call to discovery timed out, want n0 to poll again before that")
 	}
 }
 
-// TestPeersOff: without the setting peers the report on peers does not exist; the configuration check
-// rejects a key file that other users may read.
+// TestPeersOff: without the setting peers the operator call /-/peers is answered 404. The configuration
+// check rejects a key file that other users may read.
 func TestPeersOff(t *testing.T) {
 	s := newLineRig(t, 1, map[string]any{"operator": "127.0.0.1:0"})
 	if code := s.call("GET", "/-/peers"); code != http.StatusNotFound {
@@ -383,7 +390,8 @@
 		}
 	}
 	slices.Sort(took)
-	t.Logf("%d of %d relays reported the killed one; p50 %v, last %v", len(took), n-1, took[len(took)/2], took[len(took)-1])
+	t.Logf("%d of %d relays reported the killed one; p50 %v, last %v",
+		len(took), n-1, took[len(took)/2], took[len(took)-1])
 	usage, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", c.relays[0].cmd.Process.Pid))
 	for line := range strings.Lines(string(usage)) {
 		if strings.HasPrefix(line, "VmRSS") {
--- a/integration/upgrade_test.go
+++ b/integration/upgrade_test.go
@@ -34,36 +34,37 @@
 	}
 }
 
-// TestUpgrade: a second process takes over and no request is rejected: clients that have connected to
-// either process and sent nothing yet, or half a line, are served; open flows last through two upgrades;
-// the id of a flow that is open at the first process is refused at the second; only the process that is
-// told to stop exits.
+// TestUpgrade: a second process takes over and no request is rejected. Clients that have connected and
+// sent nothing yet, or half a line, are served; open flows last through two upgrades; the second process
+// refuses the id of a flow that is open at the first one; only the process that gets SIGTERM exits.
 func TestUpgrade(t *testing.T) {
 	s := newOperatorRig(t, 3, nil)
-	held := s.openFlows(6)
-	quiet, partial, upstream := s.dial(), s.dial(), s.dial()
-	fmt.Fprint(partial, "OPEN 00000000000000aa 00000000000000bb c=pay-sta")
-	upstream.send("PING")
-	upstream.wantLine("PONG")
+	flows := s.openFlows(6)
+	idle, half, front := s.dial(), s.dial(), s.dial()
+	fmt.Fprint(half, "OPEN 00000000000000aa 00000000000000bb c=pay-sta")
+	front.send("PING")
+	front.wantLine("PONG")
 	next := s.startSuccessor(2)
 	if next.addrs["line"] != s.addrs["line"] {
 		t.Fatalf("the successor listens at %s, want %s as the first process", next.addrs["line"], s.addrs["line"])
 	}
-	waitFor(t, "the successor to refuse the id of an open flow", func() bool { return next.openFlow(3, "").line() == "ERR" })
+	waitFor(t, "the successor to refuse the id of an open flow", func() bool {
+		return next.openFlow(3, "").line() == "ERR"
+	})
 	s.cmd.Process.Signal(syscall.SIGTERM)
-	fmt.Fprint(partial, "tus,t=water,d=2000\r\n")
-	partial.wantLine("UP ")
-	quiet.send("OPEN 00000000000000ab 00000000000000bb c=pay-status,t=water,d=2000")
-	quiet.wantLine("UP ")
-	upstream.send("PING")
-	upstream.wantLine("PONG")
+	fmt.Fprint(half, "tus,t=water,d=2000\r\n")
+	half.wantLine("UP ")
+	idle.send("OPEN 00000000000000ab 00000000000000bb c=pay-status,t=water,d=2000")
+	idle.wantLine("UP ")
+	front.send("PING")
+	front.wantLine("PONG")
 	for n := range 20 {
 		next.openFlow(100+n, "").wantLine("UP ")
 	}
 	s.waitExit()
 	next.waitLogged("the other process is gone")
 	next.openFlow(3, "").wantLine("ERR") // the open flow with this id was handed over
-	all := append(held, quiet, partial)
+	all := append(flows, idle, half)
 	checkFlows := func(n int) {
 		t.Helper()
 		for _, c := range all {
@@ -78,9 +79,9 @@
 	next.waitExit()
 	checkFlows(2)
 	third.openFlow(200, "").wantLine("UP ")
-	held[0].send("END")
-	held[0].wantLine("BYE")
-	held[0].wantLine(io.EOF.Error())
+	flows[0].send("END")
+	flows[0].wantLine("BYE")
+	flows[0].wantLine(io.EOF.Error())
 	checkAttemptCounter(t, s.attemptCounter)
 	third.cmd.Process.Signal(syscall.SIGTERM)
 	wantMoved(all[1:]...)
@@ -102,9 +103,9 @@
 			n++
 			c := next.openFlow(n, "")
 			if s.memberOfFlow(c.wantLine("UP ")) == b {
-				t.Errorf("a flow was sent to %s, which is ejected", b.id)
+				t.Errorf("a flow went to the ejected member %s", b.id)
 			}
-			c.send("END") // frees the little capacity of the members that are left
+			c.send("END") // open flows would use up the remaining members' capacity
 			c.wantLine("BYE")
 		}
 	}
@@ -121,9 +122,9 @@
 	next.stop()
 }
 
-// TestUpgradeFails: a second process that does not start, or exits before the first one is told to
-// stop, changes nothing for the first one, and a later upgrade succeeds. Guards against a relay that
-// gets stuck with its listeners open.
+// TestUpgradeFails: a second process that does not start, or exits before the first one gets SIGTERM,
+// changes nothing for the first one, and a later upgrade succeeds. Guards against a relay that gets stuck
+// with its listeners open.
 func TestUpgradeFails(t *testing.T) {
 	s := newOperatorRig(t, 2, nil)
 	c := s.openFlow(1, "")
@@ -154,18 +155,24 @@
 func TestUpgradeDrain(t *testing.T) {
 	s := newOperatorRig(t, 2, nil)
 	next := s.startSuccessor(2)
-	upstream := next.dial()
+	front := next.dial()
 	s.mustPut("/-/drain")
-	waitFor(t, "the successor to answer PING with ERR during the drain", func() bool { upstream.send("PING"); return upstream.line() == "ERR" })
+	waitFor(t, "the successor to answer PING with ERR during the drain", func() bool {
+		front.send("PING")
+		return front.line() == "ERR"
+	})
 	s.mustPut("/-/resume")
-	waitFor(t, "the successor to answer PING with PONG after the drain", func() bool { upstream.send("PING"); return upstream.line() == "PONG" })
+	waitFor(t, "the successor to answer PING with PONG after the drain", func() bool {
+		front.send("PING")
+		return front.line() == "PONG"
+	})
 	next.stop()
 	s.stop()
 }
 
-// TestUpgradeBudget: two processes together use at most the descriptors that one may use, and without a
-// free one clients are rejected at once. Guards against clients that wait in an accept queue from which
-// no process may accept them.
+// TestUpgradeBudget: two processes together use at most as many descriptors as one may use; when none is
+// free, clients are rejected at once. Guards against clients that wait in an accept queue from which no
+// process may accept them.
 func TestUpgradeBudget(t *testing.T) {
 	const sockets = 160
 	s := newOperatorRig(t, 2, map[string]any{"limits": map[string]any{"cores": 1, "memory_mb": 32, "sockets": sockets}})
@@ -176,7 +183,7 @@
 	for n := range 60 {
 		answer := next.openFlow(100+n, "").line()
 		if !strings.HasPrefix(answer, "UP ") && !strings.HasPrefix(answer, "BUSY ") {
-			t.Fatalf("answer to OPEN = %q, want UP or BUSY", answer)
+			t.Fatalf("request %d was answered %q, want UP or BUSY", 100+n, answer)
 		}
 	}
 	countDescriptors := func(r *relay) int {
@@ -187,7 +194,7 @@
 		return len(entries)
 	}
 	if both := countDescriptors(s.relay) + countDescriptors(next); both > sockets {
-		t.Errorf("both processes together have %d descriptors open, want at most %d", both, sockets)
+		t.Errorf("both processes together have %d open descriptors, want at most %d", both, sockets)
 	}
 	s.cmd.Process.Signal(syscall.SIGTERM)
 	s.waitExit()
@@ -199,7 +206,8 @@
 	next.stop()
 }
 
-// TestUpgradeStore: two processes write to one SQLite file, and neither rejects a request because of it.
+// TestUpgradeStore: two processes write to the same SQLite file, and neither rejects a request because of
+// the other.
 func TestUpgradeStore(t *testing.T) {
 	s := newOperatorRig(t, 2, map[string]any{"store": map[string]any{"driver": "sqlite",
 		"dsn": filepath.Join(t.TempDir(), "record.db")}})
@@ -214,7 +222,7 @@
 	s.waitExit()
 	next.openFlow(100, "").wantLine("UP ")
 	if log := s.log.String() + next.log.String(); strings.Contains(log, "the store fails") {
-		t.Error("a process logged that the store fails")
+		t.Error("a process logged that the store fails, want no failure")
 	}
 	next.stop()
 }
