--- a/internal/window/acknowledgement.go
+++ b/internal/window/acknowledgement.go
@@ -88,16 +88,16 @@
 		}
 	}
 	// Drop the answered messages and close the gaps, keeping the order of the others.
-	firstKept := w.sent
+	firstRetained := w.sent
 	for n := w.sent; n > w.head; n-- {
 		if m := w.at(n - 1); m.state == waiting {
-			firstKept--
-			*w.at(firstKept) = *m
+			firstRetained--
+			*w.at(firstRetained) = *m
 		} else {
 			w.bytes -= m.textEnd - m.textStart
 		}
 	}
-	w.head, w.acked, w.sent = firstKept, firstKept, firstKept
+	w.head, w.acked, w.sent = firstRetained, firstRetained, firstRetained
 	w.awaitingAcks, w.maxInFlight = false, min(InitialWindow, w.MaxMessages)
 	w.compact()
 }
