--- a/internal/consensus/core.go
+++ b/internal/consensus/core.go
@@ -25,7 +25,7 @@
 var errOutdatedDirectory = errors.New("this directory is older than what this voter has acknowledged")
 
 // errNoLeader means that a call was not proposed: no leader is known, or the leader cannot take calls.
-var errNoLeader = errors.New("no leader")
+var errNoLeader = errors.New("call not proposed: no leader can take it")
 
 // core is one voter's raft state machine, built on raft.RawNode. Its inputs are messages, ticks and
 // completed writes; it does no I/O and reads no clock.
--- a/internal/consensus/transport.go
+++ b/internal/consensus/transport.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"maps"
 	"sync"
@@ -174,7 +173,7 @@
 		return fmt.Errorf("send snapshot: %w", err)
 	}
 	if response[0] != codeOK {
-		return errors.New("snapshot rejected")
+		return fmt.Errorf("voter %s rejected the snapshot with response code %d", p.name, response[0])
 	}
 	return nil
 }
