--- a/cmd/dahliarudder/scenario_test.go
+++ b/cmd/dahliarudder/scenario_test.go
@@ -12,7 +12,7 @@
 	for _, name := range []string{"scenario", "rehearse"} {
 		found, rest, err := command(logrus.New(), nil).Find([]string{name, "--check", "file.json"})
 		if err != nil {
-			t.Fatalf("%s: %v", name, err)
+			t.Fatalf("Find(%q): %v", name, err)
 		}
 		if found.Name() != "scenario" || !found.DisableFlagParsing || len(rest) != 2 {
 			t.Errorf("Find(%q) = command %q with arguments %q, want scenario with 2 unparsed arguments",
