--- a/policy/learned.go
+++ b/policy/learned.go
@@ -11,14 +11,15 @@
 
 // LearnedState is the state that a successor takes over from a Balancer.
 type LearnedState struct {
-	MeanLoad          float64                    `json:"MeanLoad"`
-	ClassLoad         []float64                  `json:"ClassLoad"`
-	LendingThresholds []float64                  `json:"Lent"`  // per tenant: of the members it owns
-	ZoneFill          []float64                  `json:"Fill"`  // per zone
-	Kinds             map[int][2]float64         `json:"Kinds"` // per kind: sum of connections, sum of load times weight
-	AdmissionRate     float64                    `json:"Daring"`
-	Members           map[MemberID]LearnedMember `json:"Servers"`
-	Age               time.Duration              `json:"Ago"` // time since this state was learned
+	MeanLoad          float64   `json:"MeanLoad"`
+	ClassLoad         []float64 `json:"ClassLoad"`
+	LendingThresholds []float64 `json:"Lent"` // per tenant: of the members it owns
+	ZoneFill          []float64 `json:"Fill"` // per zone
+	// Kinds holds two sums per kind: of the connections, and of load times weight.
+	Kinds         map[int][2]float64         `json:"Kinds"`
+	AdmissionRate float64                    `json:"Daring"`
+	Members       map[MemberID]LearnedMember `json:"Servers"`
+	Age           time.Duration              `json:"Ago"` // time since this state was learned
 }
 
 // LearnedMember is the state that a successor takes over about one member.
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -24,7 +24,7 @@
 	// overloadFill is the fill above which a single report causes migrations; a load above
 	// stallLoad may come from a member that stalled for a moment. lowValueFill is the fill level
 	// for classes whose value per load is less than lowValueRatio of the best class's. See
-	// docs/design.md, "Shortage", for the measurements.
+	// docs/design.md, "Shortage".
 	overloadFill, stallLoad, lowValueFill, lowValueRatio = 0.95, 2.0, 0.8, 0.5
 	// lendTolerance is the fraction of the owners' connections that may find their home slice full
 	// (SERES paper, 5.4). lendStep scales how far one connection moves the lending threshold, as a
@@ -53,12 +53,12 @@
 	// groupSpillFill, so that each has capacity for many connections of the group. Members beyond
 	// groupReach are not used: each relay has reports of different ones and would scatter the group.
 	// groupTaper is the spare fraction of a member below which fewer of a group's connections go
-	// there. docs/design/fleet.md has the measurements.
+	// there. See docs/design/fleet.md, "Groups".
 	groupSlice, groupReach, groupSpillFill, groupTaper = 1, 1 + 2*probesPerTier, 0.5, 0.35
 	// groupDemand is the assumed number of relays that have connections for a member that is
 	// warming up, as a multiple of the connections that the member has once it is warm: most relays
 	// with a connection have one of a large group, and all those want the same member. See
-	// docs/design/fleet.md.
+	// docs/design/fleet.md, "Slow start".
 	groupDemand = 4.0
 	// admissionBackoff is the factor by which a failure to establish a connection reduces the
 	// fraction of its requests that a relay sends. minAdmissionRate is the fraction that it always
