--- a/internal/core/idempotency.go
+++ b/internal/core/idempotency.go
@@ -33,7 +33,8 @@
 		class.Scope == policy.ScopeCell && m.Cell == r.firstRun.endpoint.Cell
 }
 
-// clientMayRetry reports whether the client may be told that a retry of its request is harmless.
+// clientMayRetry reports whether a retry by the client cannot make its request take effect twice. If
+// so, the final answer may be a rejection, which invites a retry.
 func (c *Core) clientMayRetry(r *request) bool {
 	class := c.policyCfg.Classes[r.Class]
 	return class.Idempotency == policy.Idempotent ||
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -64,8 +64,8 @@
 	return nil
 }
 
-// FlowEstablished reports that an attempt has become an open flow. It returns whether the client
-// may be told that its request is served.
+// FlowEstablished reports that an attempt has become an open flow. It returns whether the front may
+// answer the client that its request is served.
 func (c *Core) FlowEstablished(id ID, attempt int) bool {
 	r := c.currentAttempt(id, attempt)
 	if r == nil || !c.transition(r, attemptEstablished) {
@@ -97,8 +97,8 @@
 	}
 }
 
-// ClientGone reports that the client of a request went away. It returns whether the client, if it
-// still reads, may be told that a retry is harmless.
+// ClientGone reports that the client of a request went away. It returns whether a retry by the client
+// is safe: if the client still reads, the front may then answer with a rejection.
 func (c *Core) ClientGone(id ID) (safeToRetry bool) {
 	r := c.requests[id]
 	if r == nil {
--- a/internal/pool/timing.go
+++ b/internal/pool/timing.go
@@ -31,7 +31,7 @@
 	// throng+brink and ferry-boarding).
 	maxQueueTimeAfterRejection = deliveryDeadline/2 + overdueMargin/2
 	// abandonMargin is how long after its wait a poll is abandoned. If polls were abandoned sooner,
-	// they would leave the queue after waiting in vain, and discovery would answer no relay.
+	// they would leave discovery's queue before their answer, and discovery would answer no relay.
 	abandonMargin = 2 * deliveryAfterWait
 	// dialTimeout is how long connecting to discovery may take. After the loss of a packet there is
 	// time left for a second attempt.
--- a/internal/rollout/release.go
+++ b/internal/rollout/release.go
@@ -129,8 +129,9 @@
 	UnitsSetAt int64 `json:"since,omitempty"` // service windows after this time are compared with the baseline
 	// The time until a unit is overdue counts from ResumedAt or from the unit's order, whichever is later.
 	ResumedAt int64 `json:"resumed,omitempty"`
-	// ProgressAt is when a unit last changed its phase or was granted, or when the release was opened,
-	// resumed, got its units, or got another release to wait for, or none, whichever is latest.
+	// ProgressAt is the latest time at which a unit changed its phase or was granted, or at which the
+	// release was opened, resumed or reopened for rollback, got its units, began to wait for a
+	// different release, or stopped waiting.
 	ProgressAt int64 `json:"moved,omitempty"`
 	serviceBaseline
 	HaltCauses []Cause `json:"causes,omitempty"` // distinct causes for which the leader has halted it
--- a/internal/scenariorunner/flow.go
+++ b/internal/scenariorunner/flow.go
@@ -19,7 +19,7 @@
 
 const (
 	outcomeEnded      outcome = "ended"      // the client ended its flow, or the relay did with BYE
-	outcomeMoved      outcome = "moved"      // the relay told the client to move
+	outcomeMoved      outcome = "moved"      // the relay sent the client MOVE
 	outcomeBroken     outcome = "broken"     // the flow ended unexpectedly or stopped answering
 	outcomeRejected   outcome = "rejected"   // the final answer was BUSY
 	outcomeFailed     outcome = "failed"     // a final answer other than UP and BUSY
