--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -72,7 +72,9 @@
 	followState         followStatus
 	hasQuorum           bool
 	quorumSince         time.Time
-	leaderlessSince     time.Time // when the engine started or lost its leader; zero if it knows one, or without an engine
+	// leaderlessSince is when the engine started or lost its leader. It is zero if the engine knows a
+	// leader, and without an engine.
+	leaderlessSince time.Time
 }
 
 // randomID returns a random, non-zero number of at most 62 bits.
--- a/internal/fleet/drift_status.go
+++ b/internal/fleet/drift_status.go
@@ -10,9 +10,11 @@
 
 // driftStatus is the body of GET /-/drift.
 type driftStatus struct {
-	Findings    []driftFinding     `json:"rows"`
-	BlockReason string             `json:"blocks,omitempty"` // drift that blocks all releases except those that repair it
-	LagBounds   map[string]int64   `json:"bounds_ms"`        // by group: time in which a relay has to apply a new version
+	Findings []driftFinding `json:"rows"`
+	// BlockReason is the drift that blocks all releases except those that repair it.
+	BlockReason string `json:"blocks,omitempty"`
+	// LagBounds holds, by group, the time in which a relay has to apply a new version.
+	LagBounds   map[string]int64   `json:"bounds_ms"`
 	Quarantined []quarantinedRelay `json:"shut"`
 	Counts      drift.Counts       `json:"counts"`
 }
--- a/internal/fleet/status_report.go
+++ b/internal/fleet/status_report.go
@@ -11,19 +11,20 @@
 // statusReport is what a relay reports of itself to the leader once a second. A report may be lost, so
 // each one is complete. Counters start at zero with the process.
 type statusReport struct {
-	Incarnation    uint64         `json:"start"`
-	Zone           string         `json:"zone"`
-	Phase          RelayPhase     `json:"phase"`
-	Program        string         `json:"program"`
-	Config         string         `json:"config"`  // digest of the configuration
-	AppliedVersion uint64         `json:"follows"` // applied version of the record
-	ListGeneration uint64         `json:"list"`    // generation of discovery's endpoint list
-	Flows          int            `json:"flows"`
-	DemandMS       uint64         `json:"asked"` // as in ObservedState
-	ServedMS       uint64         `json:"served"`
-	Members        []memberReport `json:"members,omitempty"` // members with flows, or with attempts since the last report
-	Drift          []byte         `json:"drift,omitempty"`   // an encoded drift.Report
-	CanaryVersion  uint64         `json:"weighs,omitempty"`  // applied version of the canary state
+	Incarnation    uint64     `json:"start"`
+	Zone           string     `json:"zone"`
+	Phase          RelayPhase `json:"phase"`
+	Program        string     `json:"program"`
+	Config         string     `json:"config"`  // digest of the configuration
+	AppliedVersion uint64     `json:"follows"` // applied version of the record
+	ListGeneration uint64     `json:"list"`    // generation of discovery's endpoint list
+	Flows          int        `json:"flows"`
+	DemandMS       uint64     `json:"asked"` // as in ObservedState
+	ServedMS       uint64     `json:"served"`
+	// Members are the members with flows, or with attempts since the last report.
+	Members        []memberReport `json:"members,omitempty"`
+	Drift          []byte         `json:"drift,omitempty"`  // an encoded drift.Report
+	CanaryVersion  uint64         `json:"weighs,omitempty"` // applied version of the canary state
 	CanaryCounts   []byte         `json:"counts,omitempty"`
 	LocalEjections []string       `json:"local,omitempty"` // members ejected by operators at this relay only
 
--- a/internal/front/line/attempt_state.go
+++ b/internal/front/line/attempt_state.go
@@ -26,10 +26,11 @@
 	eventBye                                  // the member sent BYE, as its answer or on the open flow
 	eventMove                                 // the member sent MOVE, as its answer or on the open flow
 	eventUnexpectedAnswer                     // the member answered something else or a malformed line
-	eventNoConnection                         // the relay is short of descriptors or memory, or may not use the connection
-	eventConnLostUnsent                       // the connection was lost before the first line was sent completely
-	eventConnLost                             // the connection was closed or lost after that
-	eventAbandoned                            // the answer is no longer needed
+	// eventNoConnection: the relay is short of descriptors or memory, or may not use the connection.
+	eventNoConnection
+	eventConnLostUnsent // the connection was lost before the first line was sent completely
+	eventConnLost       // the connection was closed or lost after that
+	eventAbandoned      // the answer is no longer needed
 )
 
 // next returns the state after an event. ended is true if the event finishes the attempt, and
--- a/internal/front/line/client_state.go
+++ b/internal/front/line/client_state.go
@@ -50,24 +50,26 @@
 type clientAction int
 
 const (
-	doNothing          clientAction = iota
-	sendPong                        // answer PING and wait for the next line
-	awaitFirstLine                  // wait for the rest of the first line, for at most firstLineTimeout
-	placeRequest                    // hand the request to the core
-	sendError                       // answer ERR and close
-	sendBusy                        // answer BUSY and close
-	openFlow                        // forward the bytes that the client sent early; UP has already been forwarded to it
-	closeClient                     // close the client's side gracefully
-	resetClient                     // reset the client's side
-	cancelRequest                   // report to the core that the client left, send a final answer, close its side
-	closeFlow                       // report to the core that the client left, and close both sides gracefully
-	resetFlow                       // like closeFlow, but reset the member's side
-	flushThenCloseFlow              // report to the core that the client left; forward its bytes for at most MoveTimeout
-	awaitLineEnd                    // wait for the end of the line, for at most MoveTimeout
-	sendMove                        // send MOVE and close both sides
-	closeBothSides                  // close both sides gracefully
-	awaitFlush                      // keep forwarding the member's bytes, for at most lingerTimeout
-	finishAttempt                   // close the client's side gracefully and report the flow's result to the core
+	doNothing      clientAction = iota
+	sendPong                    // answer PING and wait for the next line
+	awaitFirstLine              // wait for the rest of the first line, for at most firstLineTimeout
+	placeRequest                // hand the request to the core
+	sendError                   // answer ERR and close
+	sendBusy                    // answer BUSY and close
+	openFlow                    // forward the bytes that the client sent early; UP has already been forwarded to it
+	closeClient                 // close the client's side gracefully
+	resetClient                 // reset the client's side
+	cancelRequest               // report to the core that the client left, send a final answer, close its side
+	closeFlow                   // report to the core that the client left, and close both sides gracefully
+	resetFlow                   // like closeFlow, but reset the member's side
+	// flushThenCloseFlow: report to the core that the client left; forward its bytes for at most
+	// MoveTimeout.
+	flushThenCloseFlow
+	awaitLineEnd   // wait for the end of the line, for at most MoveTimeout
+	sendMove       // send MOVE and close both sides
+	closeBothSides // close both sides gracefully
+	awaitFlush     // keep forwarding the member's bytes, for at most lingerTimeout
+	finishAttempt  // close the client's side gracefully and report the flow's result to the core
 )
 
 // awaitsFirstLine reports whether no request has arrived yet.
--- a/internal/front/line/commands.go
+++ b/internal/front/line/commands.go
@@ -5,7 +5,8 @@
 	commandOpen = "OPEN" // client to member: a request
 	commandUp   = "UP"   // member to client: the flow is open
 	commandBusy = "BUSY" // the request or the health check is rejected
-	commandErr  = "ERR"  // the request failed, the first line is malformed, or, in answer to PING, the relay is not ready
+	// The request failed, the first line is malformed, or, in answer to PING, the relay is not ready.
+	commandErr  = "ERR"
 	commandBye  = "BYE"  // member to client: the flow is complete
 	commandMove = "MOVE" // the flow has to be migrated
 	commandLoad = "LOAD" // member to relay, on an open flow: the load of the flow
--- a/internal/front/line/handoff.go
+++ b/internal/front/line/handoff.go
@@ -51,15 +51,16 @@
 // FlowHandoff is an open flow that is handed to another process. Its durations count back from the
 // time of the handoff.
 type FlowHandoff struct {
-	ClientID      uint64            `json:"id"` // the id in the client's first line
-	Placement     core.FlowTransfer `json:"flow"`
-	FromClient    []byte            `json:"from_client"` // received from the client, not forwarded yet
-	FromMember    []byte            `json:"from_member"` // received from the member, not forwarded yet
-	MidLine       bool              `json:"within"`      // whether part of a line from the member has been forwarded
-	LinePrefix    []byte            `json:"tail"`        // the start of that line
-	FinalCommand  string            `json:"last"`        // BYE or MOVE if the member has sent it, or empty
-	AnswerPending time.Duration     `json:"asked"`       // how long the client has waited for an answer; 0 if not waiting
-	ClientQuiet   time.Duration     `json:"heard"`       // how long the client has sent nothing
+	ClientID     uint64            `json:"id"` // the id in the client's first line
+	Placement    core.FlowTransfer `json:"flow"`
+	FromClient   []byte            `json:"from_client"` // received from the client, not forwarded yet
+	FromMember   []byte            `json:"from_member"` // received from the member, not forwarded yet
+	MidLine      bool              `json:"within"`      // whether part of a line from the member has been forwarded
+	LinePrefix   []byte            `json:"tail"`        // the start of that line
+	FinalCommand string            `json:"last"`        // BYE or MOVE if the member has sent it, or empty
+	// AnswerPending is how long the client has waited for an answer; 0 if it is not waiting.
+	AnswerPending time.Duration `json:"asked"`
+	ClientQuiet   time.Duration `json:"heard"` // how long the client has sent nothing
 }
 
 // HandOffFlows passes at most limit open flows to handOver, which then owns the descriptors of the
--- a/internal/front/line/health_check_state.go
+++ b/internal/front/line/health_check_state.go
@@ -15,14 +15,16 @@
 type healthCheckEvent int
 
 const (
-	eventCheckDue               healthCheckEvent = iota // the core requests a check, which needs a new connection
-	eventCheckDueReusable                               // the core requests a check, and the idle connection can be used
-	eventCheckConnected                                 // the connection is open
-	eventCheckAnswered                                  // the member answered PONG and nothing else
-	eventCheckFailed                                    // another answer, several lines, a timeout, or no check was sent
-	eventCheckConnLost                                  // the connection was closed or lost
-	eventCheckConnLostRetryable                         // a reused connection ended, and a new one may be dialled
-	eventCheckIdleTimeout                               // the idle connection timed out or brought unsolicited data
+	eventCheckDue healthCheckEvent = iota // the core requests a check, which needs a new connection
+	// eventCheckDueReusable: the core requests a check, and the idle connection can be used.
+	eventCheckDueReusable
+	eventCheckConnected // the connection is open
+	eventCheckAnswered  // the member answered PONG and nothing else
+	// eventCheckFailed: another answer, several lines, a timeout, or no check was sent.
+	eventCheckFailed
+	eventCheckConnLost          // the connection was closed or lost
+	eventCheckConnLostRetryable // a reused connection ended, and a new one may be dialled
+	eventCheckIdleTimeout       // the idle connection timed out or brought unsolicited data
 )
 
 // isPending reports whether a check has no result yet.
--- a/internal/front/nats/processor.go
+++ b/internal/front/nats/processor.go
@@ -91,10 +91,11 @@
 	controlSubject string        // where the proxy receives unsolicited verdicts; may be empty
 	undelivered    *verdict      // the last verdict, if there was no subject to deliver it to
 	deadline       time.Duration // of the attempt in flight
-	current        *verdict      // the send or up verdict on the attempt in flight or the open flow; nil if there is none
-	key            string        // see requestKey
-	finished       bool          // the final answer has been given
-	expiryTimer    *netloop.Timer
+	// current is the send or up verdict on the attempt in flight or the open flow; nil if there is none.
+	current     *verdict
+	key         string // see requestKey
+	finished    bool   // the final answer has been given
+	expiryTimer *netloop.Timer
 }
 
 // handleProxyCall serves a publication on a reserved subject.
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -27,16 +27,20 @@
 	Transfer  uint64 `json:"transfer,omitempty"`  // number of this transfer; 0 if no confirmation is expected
 	Confirmed uint64 `json:"confirmed,omitempty"` // number of a transfer whose connection the sender now serves
 
-	Hello            int               `json:"hello,omitempty"`    // protocol version of the newer process
-	State            *State            `json:"state,omitempty"`    // answer to Hello, with the listening sockets
-	Serving          bool              `json:"serving,omitempty"`  // the newer process accepts clients
-	Stopping         bool              `json:"leaving,omitempty"`  // the sender is shutting down
-	TakingOver       bool              `json:"relieves,omitempty"` // the sender accepts the clients; the receiver may exit
-	EjectionsChanged bool              `json:"bans,omitempty"`     // the sender has changed the ejection file
-	Drain            *bool             `json:"drain,omitempty"`    // operator drained (true) or resumed (false) the relay
-	OpenRequests     *OpenRequests     `json:"open,omitempty"`     // requests that are open in the older process
-	Flow             *line.FlowHandoff `json:"flow,omitempty"`     // an open flow, with its client's and member's sockets
-	Client           *line.IdleConn    `json:"client,omitempty"`   // a client connection without a request and its socket
+	Hello    int    `json:"hello,omitempty"`   // protocol version of the newer process
+	State    *State `json:"state,omitempty"`   // answer to Hello, with the listening sockets
+	Serving  bool   `json:"serving,omitempty"` // the newer process accepts clients
+	Stopping bool   `json:"leaving,omitempty"` // the sender is shutting down
+	// TakingOver means that the sender accepts the clients, and that the receiver may exit.
+	TakingOver       bool `json:"relieves,omitempty"`
+	EjectionsChanged bool `json:"bans,omitempty"` // the sender has changed the ejection file
+	// Drain is true if an operator drained the relay, and false if an operator resumed it.
+	Drain        *bool         `json:"drain,omitempty"`
+	OpenRequests *OpenRequests `json:"open,omitempty"` // requests that are open in the older process
+	// Flow is an open flow; the sockets of its client and of its member come with the message.
+	Flow *line.FlowHandoff `json:"flow,omitempty"`
+	// Client is a client connection without a request; its socket comes with the message.
+	Client *line.IdleConn `json:"client,omitempty"`
 }
 
 // OpenRequests lists the requests that are open at the line front of the older process, and sets
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -33,9 +33,11 @@
 	Request         bool // set by the caller to parse a request
 	Method, Target  string
 	Status          int
-	ConnectionClose bool      // the server closes the connection after this response
-	Date            time.Time // Date header: when the response was made, by the server's clock; zero if absent or invalid
-	Body            []byte
+	ConnectionClose bool // the server closes the connection after this response
+	// Date is the time in the Date header: when the response was made, by the server's clock. It is
+	// zero if the header is absent or invalid.
+	Date time.Time
+	Body []byte
 
 	state            parserState
 	lines            int  // lines parsed
--- a/internal/rollout/command.go
+++ b/internal/rollout/command.go
@@ -21,8 +21,9 @@
 
 // Commands of the leader. An operator may send CommandReadmit too.
 const (
-	CommandSetUnits      CommandKind = "lay"  // Name, Baseline, Units (in order, as they were before the release)
-	CommandStep          CommandKind = "step" // Grants (units and permits that may go out now), BaseVersion, ViewSummary
+	CommandSetUnits CommandKind = "lay" // Name, Baseline, Units (in order, as they were before the release)
+	// Grants (units and permits that may go out now), BaseVersion, ViewSummary.
+	CommandStep          CommandKind = "step"
 	CommandObserve       CommandKind = "seen" // Observations: progress of units, permits and readmitted relays
 	CommandExpirePermits CommandKind = "void" // PermitNumbers: permits not begun in time, or no longer requested
 	// Name, Reason, Zone, Capacity, StartNumber, BaseVersion, ViewSummary: a drifted relay stops
--- a/internal/rollout/permit.go
+++ b/internal/rollout/permit.go
@@ -7,9 +7,11 @@
 )
 
 const (
-	maxPermitDurationMS    = 7 * 24 * 3600 * 1000 // 7 days
-	permitRetryMS          = 1000                 // the leader plans several times a second
-	permitRequestTimeoutMS = 30 * permitRetryMS   // a waiting permit expires if its request is not repeated within this time
+	maxPermitDurationMS = 7 * 24 * 3600 * 1000 // 7 days
+	permitRetryMS       = 1000                 // the leader plans several times a second
+	// permitRequestTimeoutMS is the time after which a waiting permit expires if its request is not
+	// repeated.
+	permitRequestTimeoutMS = 30 * permitRetryMS
 )
 
 // PermitState is the state of a permit.
--- a/internal/scenario/file.go
+++ b/internal/scenario/file.go
@@ -28,7 +28,8 @@
 	Variants      []Variant       `json:"variants"`
 	Repetitions   int             `json:"repetitions"` // runs of each seed
 	Seeds         int             `json:"seeds"`       // number of consecutive seeds, beginning with Seed
-	CheckLeaks    bool            `json:"settle"`      // check the relays for leaked descriptors and excessive memory at the end
+	// CheckLeaks requests a check of the relays for leaked descriptors and excessive memory at the end.
+	CheckLeaks bool `json:"settle"`
 
 	lines map[string]int // the line of each key
 }
@@ -75,16 +76,19 @@
 	ReconnectMs       [2]float64 `json:"again_ms"` // wait after a failure; bounds of the random draw
 	LineIntervalMs    float64    `json:"line_ms"`  // between two lines of a client
 	AnswerWithinMs    float64    `json:"well_ms"`  // a line that is answered later counts as not served
-	AbandonRate       float64    `json:"leave"`    // fraction of the connections that the client abandons before its answer
+	// AbandonRate is the fraction of the connections that the client abandons before its answer.
+	AbandonRate float64 `json:"leave"`
 }
 
 // Variant is one way of running the scenario. Variants are compared on the same plans.
 type Variant struct {
-	Name    string          `json:"name"`
-	Program string          `json:"program"` // path of the relay's program, relative to the file; empty: the runner's own
-	Patch   json.RawMessage `json:"change"`  // merged into the configuration after the file's patch
-	Faults  []Fault         `json:"faults"`  // replace the file's faults; absent: the file's apply
-	Defect  *Defect         `json:"flaw"`    // replaces the file's defect; absent: the file's applies
+	Name string `json:"name"`
+	// Program is the path of the relay's program, relative to the file. If empty, the relay runs the
+	// runner's own program.
+	Program string          `json:"program"`
+	Patch   json.RawMessage `json:"change"` // merged into the configuration after the file's patch
+	Faults  []Fault         `json:"faults"` // replace the file's faults; absent: the file's apply
+	Defect  *Defect         `json:"flaw"`   // replaces the file's defect; absent: the file's applies
 }
 
 // Defect describes how a defective build of the members fails.
@@ -107,13 +111,14 @@
 	From     []string `json:"from"`     // of link actions: patterns of the names at which the links begin
 	To       []string `json:"to"`       // of link actions: patterns of the names at which the links end
 	Impairment
-	AnswerDelayMs   float64         `json:"late_ms"`    // of ActionDiscoverySlow
-	IdleConnections int             `json:"idle"`       // of ActionOpenIdle: connections to each relay
-	SignalSeries    bool            `json:"series"`     // of ActionTerminate: several signals in a row
-	LoseState       bool            `json:"lose_state"` // the relay's next start finds an empty state directory
-	OldState        bool            `json:"old_state"`  // the relay's next start finds the state of the last copy_state
-	Call            string          `json:"call"`       // of the fleet's HTTP API, such as "POST /-/releases"; retried until accepted
-	Body            json.RawMessage `json:"body"`
+	AnswerDelayMs   float64 `json:"late_ms"`    // of ActionDiscoverySlow
+	IdleConnections int     `json:"idle"`       // of ActionOpenIdle: connections to each relay
+	SignalSeries    bool    `json:"series"`     // of ActionTerminate: several signals in a row
+	LoseState       bool    `json:"lose_state"` // the relay's next start finds an empty state directory
+	OldState        bool    `json:"old_state"`  // the relay's next start finds the state of the last copy_state
+	// Call is a call of the fleet's HTTP API, such as "POST /-/releases". It is retried until accepted.
+	Call string          `json:"call"`
+	Body json.RawMessage `json:"body"`
 }
 
 // Impairment is what a fault does to a link's traffic.
--- a/internal/scenariorunner/result.go
+++ b/internal/scenariorunner/result.go
@@ -27,17 +27,19 @@
 	Seed       uint64  `json:"seed"`
 	Seconds    float64 `json:"seconds"`
 	// Invalid is the reason why the run does not count as a measurement; empty for a valid run.
-	Invalid           string               `json:"invalid,omitempty"`
-	Violations        []scenario.Violation `json:"broken"`
-	Service           float64              `json:"service"` // served share of the demand; see scenario.Service
-	Worst             float64              `json:"worst_10_s"`
-	WorstAt           float64              `json:"worst_10_s_at_s"`
-	ByTag             map[string]float64   `json:"by"`
-	RecoveredAfter    *float64             `json:"back_after_s"` // since the last step; nil if there is none or service never recovered
-	SetupTimes        map[string]float64   `json:"set_up_ms"`    // by quantile
-	Answers           map[string]int       `json:"answers"`      // attempts by outcome
-	AttemptsPerClient float64              `json:"tries_a_client"`
-	MaxAttempts       int                  `json:"tries_of_one_client_most"`
+	Invalid    string               `json:"invalid,omitempty"`
+	Violations []scenario.Violation `json:"broken"`
+	Service    float64              `json:"service"` // served share of the demand; see scenario.Service
+	Worst      float64              `json:"worst_10_s"`
+	WorstAt    float64              `json:"worst_10_s_at_s"`
+	ByTag      map[string]float64   `json:"by"`
+	// RecoveredAfter is the time from the last step to the recovery of the service. It is nil if there
+	// is no step or the service did not recover.
+	RecoveredAfter    *float64           `json:"back_after_s"`
+	SetupTimes        map[string]float64 `json:"set_up_ms"` // by quantile
+	Answers           map[string]int     `json:"answers"`   // attempts by outcome
+	AttemptsPerClient float64            `json:"tries_a_client"`
+	MaxAttempts       int                `json:"tries_of_one_client_most"`
 	// PeakMemberLoad is the peak work of the new connections of one member in 1 s, relative to the
 	// member's capacity.
 	PeakMemberLoad float64      `json:"new_connections_in_1_s_over_what_the_member_can_take_most"`
